--- a/features/steps/dispatch_leaving_steps.py
+++ b/features/steps/dispatch_leaving_steps.py
@@ -23,12 +23,14 @@
 @given("leaving workers take nothing")
 def step_take_nothing(context):
     for module in (agententries, placement):
-        replace(context, module, "ends_in_time", lambda expected, left: left > 1e9)
+        replace(
+            context, module, "can_finish_in_time", lambda expected, left: left > 1e9
+        )
 
 
 @given("leaving workers keep what they can't end")
 def step_keep(context):
-    replace(context, agentworker, "give_back_what_can_not_end", lambda *arguments: None)
+    replace(context, agentworker, "stop_unfinishable_runs", lambda *arguments: None)
 
 
 def replace(context, module, name, value):
--- a/features/steps/dispatch_mutants_steps.py
+++ b/features/steps/dispatch_mutants_steps.py
@@ -18,7 +18,7 @@
 from features.support.fleet import JOB, Fleet
 from features.support.fleetscript import RandomDay
 
-take_running = agentworker._take_running
+take_running = agentworker._apply_running
 
 # Without an entry's lease a task must outlive its entry by 1.3 s, and be placed again
 # in time: the rarest of the promises to break, on one day in fifty.
@@ -31,7 +31,7 @@
     if safeguard == "an entry's lease at its agents":
         return [mock.patch.object(agent, "expire_entries", lambda state, now: None)]
     if safeguard == "waiting for a silent agent's leases":
-        return [mock.patch.object(agentview, "lost_after", lambda: 0.2)]
+        return [mock.patch.object(agentview, "agent_lapse_seconds", lambda: 0.2)]
     if safeguard == "waiting for a worker's lease":
         return [
             mock.patch.object(module, "worker_lapse_seconds", lambda: 0.0)
@@ -39,13 +39,15 @@
         ]
     if safeguard == "orphaning the tasks of an entry's earlier life":
         return [
-            mock.patch.object(agententries, "_orphan", lambda *arguments: None),
+            mock.patch.object(
+                agententries, "_stop_entry_runs", lambda *arguments: None
+            ),
             mock.patch.object(agent, "expire_entries", lambda state, now: None),
         ]
     if safeguard == "a stop before a doubtful start is given up":
-        return [mock.patch.object(agentcalls, "_doubt", give_up_doubtful)]
+        return [mock.patch.object(agentcalls, "_mark_unconfirmed", give_up_doubtful)]
     if safeguard == "stopping what an earlier life of an agent ran":
-        return [mock.patch.object(agentworker, "_take_running", ignore_strangers)]
+        return [mock.patch.object(agentworker, "_apply_running", ignore_strangers)]
     if safeguard == "the order of an agent's reports":
         return [
             mock.patch.object(
--- a/features/steps/dispatch_once_steps.py
+++ b/features/steps/dispatch_once_steps.py
@@ -6,8 +6,8 @@
 from cactuswalk.dispatch.bounds import (
     ENTRY_LEASE_SECONDS,
     RESEND_SECONDS,
-    lost_after,
-    orphan_ends_after,
+    agent_lapse_seconds,
+    orphan_lapse_seconds,
     worker_lapse_seconds,
 )
 from features.support.fleet import JOB, Fleet
@@ -144,12 +144,12 @@
 
 @then("tasks of a dead entry have ended before its callers come back")
 def step_orphans(context):
-    assert orphan_ends_after() < RESEND_SECONDS
+    assert orphan_lapse_seconds() < RESEND_SECONDS
 
 
 @then("an entry waits longer for a silent agent than the agent holds on")
 def step_lost_after(context):
-    assert lost_after() > ENTRY_LEASE_SECONDS + worker_lapse_seconds()
+    assert agent_lapse_seconds() > ENTRY_LEASE_SECONDS + worker_lapse_seconds()
 
 
 @then("random day {seed:d} of {seconds:d} seconds keeps every promise")
--- a/features/steps/dispatch_recovery_steps.py
+++ b/features/steps/dispatch_recovery_steps.py
@@ -37,9 +37,9 @@
 def step_drags(context, agent):
     fleet = context.fleet
     fleet.workers[agent].pace = 10.0
-    soundness = fleet.states[agent].soundness
-    assert soundness.begins_to_drag(10.0)
-    fleet.states[agent].touch_entries()
+    health = fleet.states[agent].health
+    assert health.detect_slowdown(10.0)
+    fleet.states[agent].mark_entries_dirty()
     fleet.run(0.2)
 
 
@@ -97,7 +97,7 @@
 def step_idle(context, one, other):
     fleet = context.fleet
     states = [fleet.states[name] for name in (one, other)]
-    assert any(peer.ends for state in states for peer in state.entries.values())
+    assert any(peer.pending_ends for state in states for peer in state.entries.values())
     assert all(state.is_idle(fleet.now) for state in states)
 
 
--- a/features/steps/dispatch_trial_steps.py
+++ b/features/steps/dispatch_trial_steps.py
@@ -42,7 +42,7 @@
 
 @then("{agent:w}'s worker is on trial")
 def step_on_trial(context, agent):
-    assert context.fleet.states[agent].soundness.on_trial
+    assert context.fleet.states[agent].health.on_trial
 
 
 @then("the job has failed at {entry:w}")
--- a/features/steps/dispatch_unanswered_steps.py
+++ b/features/steps/dispatch_unanswered_steps.py
@@ -75,7 +75,7 @@
     for name, worker in fleet.workers.items():
         worker.loses, worker.late = (StartTask, StopTask), late
         # A look was lost a moment ago as well, so that many short ones follow.
-        fleet.states[name].unanswered_look_at = fleet.now
+        fleet.states[name].unanswered_poll_at = fleet.now
     step_job(context, tasks, seconds, "e0")
 
 
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -14,8 +14,8 @@
     Announced,
     EndedRow,
     EntriesRead,
-    Looked,
-    LookFailed,
+    PollAnswered,
+    PollFailed,
     Received as AgentReceived,
     RunEnd,
     RunningRow,
@@ -30,7 +30,7 @@
 from cactuswalk.dispatch.effects import (
     Answer,
     AskEntries,
-    LookAtWorker,
+    PollWorker,
     Say,
     SendMessage,
     StartTask,
@@ -424,7 +424,7 @@
             self.send(name, effect.address, effect.message)
         elif isinstance(effect, Answer):
             self.answers[effect.waiter] = (self.now, effect)
-        elif isinstance(effect, (StartTask, StopTask, LookAtWorker)):
+        elif isinstance(effect, (StartTask, StopTask, PollWorker)):
             self.call(name, state, effect)
         elif isinstance(effect, AskEntries):
             self.at(
@@ -497,9 +497,9 @@
         if isinstance(effect, StopTask):
             return StopAnswered(effect.worker, effect.handle, worker.stop(effect, now))
         if effect.worker != worker.identifier:
-            return LookFailed(effect.worker, False, True, effect.is_check)
+            return PollFailed(effect.worker, False, True, effect.is_check)
         if effect.token < worker.token:
-            return LookFailed(effect.worker, True, False, effect.is_check)
+            return PollFailed(effect.worker, True, False, effect.is_check)
         worker.token = effect.token
         worker.renew(effect, sent_at, now)
         if effect.wait_ms and not worker.ended:
@@ -510,7 +510,7 @@
         worker.advance(self.now)
         gone = effect.worker != worker.identifier
         if gone or worker.ended or self.now >= deadline or worker.cut:
-            event = LookFailed(effect.worker, False, gone, effect.is_check)
+            event = PollFailed(effect.worker, False, gone, effect.is_check)
             if not gone and not worker.cut:
                 event = looked(effect, sent_at, *worker.rows(self.now))
             self.at(CALL_SECONDS / 2, lambda: self.feed_same(name, state, event))
@@ -596,8 +596,10 @@
         return StartAnswered(effect.worker, effect.handle, StartVerdict.UNKNOWN)
     if isinstance(effect, StopTask):
         return StopAnswered(effect.worker, effect.handle, False)
-    return LookFailed(effect.worker, False, False, effect.is_check)
+    return PollFailed(effect.worker, False, False, effect.is_check)
 
 
 def looked(effect, sent_at, running, ended):
-    return Looked(effect.worker, sent_at, running, ended, effect.noted, effect.is_check)
+    return PollAnswered(
+        effect.worker, sent_at, running, ended, effect.noted, effect.is_check
+    )
--- a/src/cactuswalk/dispatch/agent.py
+++ b/src/cactuswalk/dispatch/agent.py
@@ -6,23 +6,23 @@
 """
 
 from cactuswalk.dispatch.agentcalls import (
-    call_stop,
-    start_answered,
-    stop_answered,
-    worker_gone,
+    drop_worker,
+    handle_start_answer,
+    handle_stop_answer,
+    request_stop,
 )
 from cactuswalk.dispatch.agententries import (
     expire_entries,
-    received,
-    tell_again,
+    handle_message,
+    resend_ends,
 )
 from cactuswalk.dispatch.agentevents import (
     AgentEvent,
     Announced,
     Departed,
     EntriesRead,
-    Looked,
-    LookFailed,
+    PollAnswered,
+    PollFailed,
     Received,
     StartAnswered,
     StopAnswered,
@@ -30,20 +30,20 @@
     Tick,
 )
 from cactuswalk.dispatch.agentheld import HeldState
-from cactuswalk.dispatch.agentleaving import close_if_idle, stop_requested
-from cactuswalk.dispatch.agentlooks import check_if_wanted, look_if_due
+from cactuswalk.dispatch.agentleaving import close_if_idle, handle_stop_request
 from cactuswalk.dispatch.agentmembers import (
-    ask_entries,
-    entries_read,
+    handle_entries,
     refresh_peers,
+    request_entries,
 )
+from cactuswalk.dispatch.agentpolls import check_if_requested, poll_if_due
 from cactuswalk.dispatch.agentreports import report_if_dirty
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.agentworker import (
-    announced,
-    departed,
-    look_failed,
-    looked,
+    handle_departure,
+    handle_heartbeat,
+    handle_poll_answer,
+    handle_poll_failure,
 )
 from cactuswalk.dispatch.bounds import (
     CALL_TIMEOUT_SECONDS,
@@ -69,8 +69,8 @@
 def reduce(state: AgentState, event: AgentEvent, now: float) -> list[Effect]:
     """Take an event, and return what is to be done."""
     HANDLERS[type(event)](state, event, now)
-    look_if_due(state, now)
-    check_if_wanted(state, now)
+    poll_if_due(state, now)
+    check_if_requested(state, now)
     report_if_dirty(state, now)
     effects, state.effects = state.effects, []
     return effects
@@ -79,10 +79,10 @@
 def _tick(state: AgentState, _: Tick, now: float) -> None:
     expire_entries(state, now)
     _expire_held(state, now)
-    tell_again(state, now)
+    resend_ends(state, now)
     _check_worker(state, now)
     refresh_peers(state, now)
-    ask_entries(state, now)
+    request_entries(state, now)
     close_if_idle(state, now)
     working = {held.entry for held in state.held.values()}
     for peer in state.entries.values():
@@ -93,14 +93,14 @@
 
 def _expire_held(state: AgentState, now: float) -> None:
     for held in list(state.held.values()):
-        if held.gone_at and now >= held.gone_at and _is_lapsed(state, now):
+        if held.expires_at and now >= held.expires_at and _is_lapsed(state, now):
             state.end(held, TaskEnd.LOST, 0, "its lease has passed", now)
         elif (
-            held.state in (HeldState.STOPPING, HeldState.DOUBTFUL)
-            and not held.call_under_way
-            and now - held.asked_at > CALL_TIMEOUT_SECONDS
+            held.state in (HeldState.STOPPING, HeldState.UNCONFIRMED)
+            and not held.call_pending
+            and now - held.called_at > CALL_TIMEOUT_SECONDS
         ):
-            call_stop(state, held, now)
+            request_stop(state, held, now)
 
 
 def _is_lapsed(state: AgentState, now: float) -> bool:
@@ -116,18 +116,18 @@
     if state.worker is None or state.held or state.reachable:
         return
     if now - state.announced_at > SILENT_WORKER_SECONDS:
-        worker_gone(state, "neither heartbeats nor answers", now)
+        drop_worker(state, "neither heartbeats nor answers", now)
 
 
 HANDLERS = {
-    Announced: announced,
-    Departed: departed,
-    Received: received,
-    StartAnswered: start_answered,
-    StopAnswered: stop_answered,
-    Looked: looked,
-    LookFailed: look_failed,
-    EntriesRead: entries_read,
-    StopRequested: stop_requested,
+    Announced: handle_heartbeat,
+    Departed: handle_departure,
+    Received: handle_message,
+    StartAnswered: handle_start_answer,
+    StopAnswered: handle_stop_answer,
+    PollAnswered: handle_poll_answer,
+    PollFailed: handle_poll_failure,
+    EntriesRead: handle_entries,
+    StopRequested: handle_stop_request,
     Tick: _tick,
 }
--- a/src/cactuswalk/dispatch/agentcalls.py
+++ b/src/cactuswalk/dispatch/agentcalls.py
@@ -5,7 +5,7 @@
     StartVerdict,
     StopAnswered,
 )
-from cactuswalk.dispatch.agentheld import Held, HeldState
+from cactuswalk.dispatch.agentheld import HeldState, HeldTask
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.bounds import (
     WORKER_LEASE_SECONDS,
@@ -18,37 +18,37 @@
 from cactuswalk.dispatch.messages import TaskEnd
 
 __all__ = [
-    "RUN_STEP",
-    "call_start",
-    "call_stop",
+    "RUN_NUMBER_STEP",
+    "drop_worker",
     "forget_worker",
-    "lose_all",
+    "handle_start_answer",
+    "handle_stop_answer",
+    "mark_all_lost",
     "raise_token",
-    "start_answered",
-    "stop",
-    "stop_answered",
-    "worker_gone",
+    "request_start",
+    "request_stop",
+    "stop_run",
 ]
 
 # Added to a run's number, or to the token, when the worker has seen a higher one
 # from an earlier life of this agent; far above what one life uses.
-RUN_STEP = 1_000
+RUN_NUMBER_STEP = 1_000
 TOKEN_STEP = 60_000
 
 # How many times a start that the worker refuses as superseded, fenced or late is
 # tried before it is declined.
-MOST_TRIES = 4
+MAX_START_TRIES = 4
 
-REFUSED_RETRYABLE = {
+RETRYABLE_VERDICTS = {
     StartVerdict.SUPERSEDED,
     StartVerdict.FENCED,
     StartVerdict.LATE,
 }
 
 
-def call_start(state: AgentState, held: Held, now: float) -> None:
+def request_start(state: AgentState, held: HeldTask, now: float) -> None:
     """Have the worker start a task under its present run number."""
-    held.call_under_way = True
+    held.call_pending = True
     held.tries += 1
     held.since = now
     state.runs[held.start.key] = held.run
@@ -66,48 +66,48 @@
     )
 
 
-def start_answered(state: AgentState, event: StartAnswered, now: float) -> None:
+def handle_start_answer(state: AgentState, event: StartAnswered, now: float) -> None:
     """Take the worker's word on a start, or that there was none."""
     held = state.held.get(event.handle)
     if held is None or not state.is_current(event.worker):
         return
-    held.call_under_way = False
+    held.call_pending = False
     if event.verdict is StartVerdict.STARTED:
-        state.observe("start_seconds", seconds=now - held.asked_at)
+        state.observe("start_seconds", seconds=now - held.called_at)
         if held.state is HeldState.STARTING:
             held.state = HeldState.RUNNING
             held.since = held.percent_at = now
         elif held.state is HeldState.STOPPING:
-            call_stop(state, held, now)
+            request_stop(state, held, now)
         return
     if event.verdict is StartVerdict.UNKNOWN:
-        _doubt(state, held, now)
+        _mark_unconfirmed(state, held, now)
         return
     if event.verdict is StartVerdict.GONE:
-        worker_gone(state, "the worker's address answers for it no more", now)
+        drop_worker(state, "the worker's address answers for it no more", now)
         return
     _start_refused(state, held, event.verdict, now)
 
 
 def _start_refused(
-    state: AgentState, held: Held, verdict: StartVerdict, now: float
+    state: AgentState, held: HeldTask, verdict: StartVerdict, now: float
 ) -> None:
     if held.state is HeldState.STOPPING:
         state.end(held, TaskEnd.STOPPED, 0, "never began", now)
         return
-    if verdict in REFUSED_RETRYABLE and held.tries < MOST_TRIES:
+    if verdict in RETRYABLE_VERDICTS and held.tries < MAX_START_TRIES:
         if verdict is StartVerdict.SUPERSEDED:
-            held.run += RUN_STEP
+            held.run += RUN_NUMBER_STEP
         if verdict is StartVerdict.FENCED:
             raise_token(state)
-        call_start(state, held, now)
+        request_start(state, held, now)
         return
     state.say(
         "the worker refuses a start", job=held.start.key.job, verdict=verdict.value
     )
     state.end(held, TaskEnd.DECLINED, 0, verdict.value, now)
     if verdict is StartVerdict.UNHEALTHY:
-        state.soundness.failed(held.start.key.job, now)
+        state.health.record_failure(held.start.key.job, now)
 
 
 def raise_token(state: AgentState) -> None:
@@ -118,7 +118,7 @@
     state.say("raises its token: the worker has seen a higher one", new=state.token)
 
 
-def _doubt(state: AgentState, held: Held, now: float) -> None:
+def _mark_unconfirmed(state: AgentState, held: HeldTask, now: float) -> None:
     """Settle a start without an answer: see that it runs, or forbid it.
 
     Its answer alone may have been lost: where a look shows that it runs, it runs on.
@@ -127,31 +127,31 @@
     without one the lease in the call does.
     """
     state.observe("start_unanswered")
-    held.gone_at = now + worker_lapse_seconds()
+    held.expires_at = now + worker_lapse_seconds()
     if held.state is not HeldState.STARTING:
-        call_stop(state, held, now)
+        request_stop(state, held, now)
         return
-    held.state = HeldState.DOUBTFUL
-    held.asked_at = now
-    state.check_wanted = True
+    held.state = HeldState.UNCONFIRMED
+    held.called_at = now
+    state.check_requested = True
 
 
-def stop(state: AgentState, held: Held, reason: str, now: float) -> None:
+def stop_run(state: AgentState, held: HeldTask, reason: str, now: float) -> None:
     """Have a start stopped, at once or when its call is answered."""
     if held.state is HeldState.STOPPING:
         return
     held.state = HeldState.STOPPING
     held.reason = reason
-    if not held.call_under_way:
-        call_stop(state, held, now)
+    if not held.call_pending:
+        request_stop(state, held, now)
 
 
-def call_stop(state: AgentState, held: Held, now: float) -> None:
+def request_stop(state: AgentState, held: HeldTask, now: float) -> None:
     """Have the worker stop a run, or refuse it when it comes."""
     if state.worker is None:
         return
-    held.call_under_way = True
-    held.asked_at = now
+    held.call_pending = True
+    held.called_at = now
     state.effects.append(
         StopTask(
             state.worker.identifier,
@@ -163,26 +163,26 @@
     )
 
 
-def stop_answered(state: AgentState, event: StopAnswered, now: float) -> None:
+def handle_stop_answer(state: AgentState, event: StopAnswered, now: float) -> None:
     """Take the worker's word on a stop; a look will show the end."""
     held = state.held.get(event.handle)
     if held is None or not state.is_current(event.worker):
         return
-    held.call_under_way = False
+    held.call_pending = False
     if not event.done:
-        if not held.gone_at:
-            held.gone_at = now + worker_lapse_seconds()
+        if not held.expires_at:
+            held.expires_at = now + worker_lapse_seconds()
         return
     # From here a look that is sent shows it ended, or shows nothing of it.
-    held.gone_at = held.gone_at or now + worker_lapse_seconds()
-    held.asked_at = now
+    held.expires_at = held.expires_at or now + worker_lapse_seconds()
+    held.called_at = now
     held.stop_confirmed = True
-    state.check_wanted |= held.state is HeldState.DOUBTFUL
+    state.check_requested |= held.state is HeldState.UNCONFIRMED
     held.state = HeldState.STOPPING
-    state.look_not_before = now
+    state.poll_not_before = now
 
 
-def worker_gone(state: AgentState, reason: str, now: float) -> None:
+def drop_worker(state: AgentState, reason: str, now: float) -> None:
     """Give up a worker that has ended for certain."""
     state.say("the worker is gone", worker=state.worker.identifier, reason=reason)
     forget_worker(state, reason, now)
@@ -190,14 +190,14 @@
 
 def forget_worker(state: AgentState, reason: str, now: float) -> None:
     """Begin to wait for another life of the worker."""
-    lose_all(state, reason, now)
+    mark_all_lost(state, reason, now)
     state.worker = None
     state.reachable = False
     state.ready_to_start = False
-    state.touch_entries()
+    state.mark_entries_dirty()
 
 
-def lose_all(state: AgentState, reason: str, now: float) -> None:
+def mark_all_lost(state: AgentState, reason: str, now: float) -> None:
     """End all that is held: it has ended with its worker."""
     for held in list(state.held.values()):
         state.end(held, TaskEnd.LOST, 0, reason, now)
--- a/src/cactuswalk/dispatch/agentevents.py
+++ b/src/cactuswalk/dispatch/agentevents.py
@@ -14,8 +14,8 @@
     "Departed",
     "EndedRow",
     "EntriesRead",
-    "LookFailed",
-    "Looked",
+    "PollAnswered",
+    "PollFailed",
     "Received",
     "RunEnd",
     "RunningRow",
@@ -114,7 +114,7 @@
     done: bool
 
 
-class Looked(msgspec.Struct):
+class PollAnswered(msgspec.Struct):
     """The worker answered a look that was sent at ``sent_at``.
 
     :param noted: the ends that the look allowed the worker to forget.
@@ -129,7 +129,7 @@
     is_check: bool = False
 
 
-class LookFailed(msgspec.Struct):
+class PollFailed(msgspec.Struct):
     """A look had no answer.
 
     :param fenced: the worker has seen a higher token than this agent's.
@@ -163,8 +163,8 @@
     | Received
     | StartAnswered
     | StopAnswered
-    | Looked
-    | LookFailed
+    | PollAnswered
+    | PollFailed
     | EntriesRead
     | StopRequested
     | Tick
--- a/src/cactuswalk/dispatch/agentheld.py
+++ b/src/cactuswalk/dispatch/agentheld.py
@@ -8,7 +8,7 @@
 from cactuswalk.dispatch.membership import Member
 from cactuswalk.dispatch.messages import Ended, Start
 
-__all__ = ["EntryPeer", "Held", "HeldState"]
+__all__ = ["EntryPeer", "HeldState", "HeldTask"]
 
 
 class HeldState(enum.Enum):
@@ -20,11 +20,11 @@
 
     STARTING = "starting"
     RUNNING = "running"
-    DOUBTFUL = "doubtful"
+    UNCONFIRMED = "doubtful"
     STOPPING = "stopping"
 
 
-class Held(msgspec.Struct):
+class HeldTask(msgspec.Struct):
     """A start whose room is taken at the worker.
 
     :param handle: the agent's own number for it.
@@ -42,18 +42,18 @@
     run: int
     state: HeldState
     since: float
-    gone_at: float = 0.0
-    call_under_way: bool = False
+    expires_at: float = 0.0
+    call_pending: bool = False
     stop_confirmed: bool = False
-    asked_at: float = 0.0
+    called_at: float = 0.0
     percent: int = 0
     percent_at: float = 0.0
-    speed_from: tuple[float, int] = (0.0, 0)
+    speed_sample: tuple[float, int] = (0.0, 0)
     speed: float = 0.0
     tries: int = 0
     reason: str = ""
 
-    def names(self) -> dict[str, object]:
+    def log_fields(self) -> dict[str, object]:
         """Return the fields that name its run in a log line."""
         key = self.start.key
         return {"job": key.job, "step": key.step, "index": key.index, "run": self.run}
@@ -74,17 +74,17 @@
     """
 
     address: str
-    life: str = ""
-    echoed: int = -1
+    incarnation: str = ""
+    echoed_stamp: int = -1
     heard_at: float = 0.0
-    seen: int = 0
-    ends: dict[int, Ended] = msgspec.field(default_factory=dict)
-    told_at: dict[int, float] = msgspec.field(default_factory=dict)
+    last_sequence: int = 0
+    pending_ends: dict[int, Ended] = msgspec.field(default_factory=dict)
+    end_sent_at: dict[int, float] = msgspec.field(default_factory=dict)
     data_centre: str = ""
     reported_at: float = 0.0
     dirty: bool = True
     urgent: bool = False
-    past_lives: set[str] = msgspec.field(default_factory=set)
+    past_incarnations: set[str] = msgspec.field(default_factory=set)
     home: bool = False
     members: list[Member] = []
     members_version: int = 0
--- a/src/cactuswalk/dispatch/agentleaving.py
+++ b/src/cactuswalk/dispatch/agentleaving.py
@@ -2,19 +2,19 @@
 
 import math
 
-from cactuswalk.dispatch.agentcalls import stop
+from cactuswalk.dispatch.agentcalls import stop_run
 from cactuswalk.dispatch.agentevents import StopRequested
-from cactuswalk.dispatch.agentheld import Held, HeldState
+from cactuswalk.dispatch.agentheld import HeldState, HeldTask
 from cactuswalk.dispatch.agentprogress import progress
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.bounds import STOP_MARGIN_SECONDS
-from cactuswalk.dispatch.leaving import can_not_end
-from cactuswalk.dispatch.soundness import LEAST_PROGRESS_SECONDS
+from cactuswalk.dispatch.leaving import cannot_finish
+from cactuswalk.dispatch.workerhealth import MIN_PROGRESS_SECONDS
 
-__all__ = ["close_if_idle", "give_back_what_can_not_end", "stop_requested"]
+__all__ = ["close_if_idle", "handle_stop_request", "stop_unfinishable_runs"]
 
 
-def stop_requested(state: AgentState, _: StopRequested, now: float) -> None:
+def handle_stop_request(state: AgentState, _: StopRequested, now: float) -> None:
     """Begin to leave: the worker stays, and the agent's next life will have it.
 
     Until the last of what runs is expected to end, tasks that end sooner are taken.
@@ -32,32 +32,32 @@
         held=len(state.held),
         takes_for=round(state.closes_at - now, 3),
     )
-    state.touch_entries()
+    state.mark_entries_dirty()
 
 
-def _left_seconds(state: AgentState, held: Held, now: float) -> float:
+def _left_seconds(state: AgentState, held: HeldTask, now: float) -> float:
     """Return how long a start is expected to run yet."""
     ran = now - held.since
-    if held.state is HeldState.RUNNING and ran >= LEAST_PROGRESS_SECONDS:
-        return progress(held, now).left_ms / 1000
-    return held.start.estimate_ms / 1000 * state.soundness.pace
+    if held.state is HeldState.RUNNING and ran >= MIN_PROGRESS_SECONDS:
+        return progress(held, now).remaining_ms / 1000
+    return held.start.estimate_ms / 1000 * state.health.pace
 
 
 def close_if_idle(state: AgentState, now: float) -> None:
     """Take nothing more once all has ended: the process can go."""
     if state.stopping and not state.held and now < state.closes_at:
         state.closes_at = now
-        state.touch_entries()
+        state.mark_entries_dirty()
 
 
-def give_back_what_can_not_end(state: AgentState, now: float) -> None:
+def stop_unfinishable_runs(state: AgentState, now: float) -> None:
     """Stop the runs that would be lost with their worker or this agent."""
     lost_at = state.lost_at()
     if lost_at == math.inf:
         return
-    left_ms = max(0.0, lost_at - now) * 1000
+    remaining_ms = max(0.0, lost_at - now) * 1000
     for held in list(state.held.values()):
         if held.state is not HeldState.RUNNING:
             continue
-        if can_not_end(progress(held, now), left_ms):
-            stop(state, held, "its worker leaves before its end", now)
+        if cannot_finish(progress(held, now), remaining_ms):
+            stop_run(state, held, "its worker leaves before its end", now)
--- a/src/cactuswalk/dispatch/agentmembers.py
+++ b/src/cactuswalk/dispatch/agentmembers.py
@@ -7,7 +7,7 @@
 from cactuswalk.dispatch.membership import FORGET_ENTRY_SECONDS, home_entries
 from cactuswalk.dispatch.messages import Pulse
 
-__all__ = ["ask_entries", "entries_read", "refresh_peers", "take_members"]
+__all__ = ["handle_entries", "refresh_peers", "request_entries", "update_members"]
 
 # A home entry that has not been heard for so long gets a substitute: three pulses.
 SILENT_SECONDS = 1.5
@@ -25,7 +25,7 @@
 ASK_AGAIN_SECONDS = 3.0
 
 
-def take_members(state: AgentState, peer: EntryPeer, pulse: Pulse) -> None:
+def update_members(state: AgentState, peer: EntryPeer, pulse: Pulse) -> None:
     """Take the entries that another one tells of."""
     if pulse.members is None or pulse.members_version < peer.members_version:
         return
@@ -55,17 +55,17 @@
             peer.home = address in home
             peer.dirty = True
         if not peer.home:
-            _let_go(state, peer, now)
+            _forget_if_detached(state, peer, now)
 
 
 def _directory(state: AgentState, now: float) -> dict[str, str]:
     """Return the data centre of each entry that is known, by address."""
     directory = dict.fromkeys(state.seeds, "")
-    directory.update(state.stored)
+    directory.update(state.stored_entries)
     heard = [
         peer
         for peer in state.entries.values()
-        if peer.life and now - peer.heard_at < FORGET_ENTRY_SECONDS
+        if peer.incarnation and now - peer.heard_at < FORGET_ENTRY_SECONDS
     ]
     for peer in heard:
         directory.update(
@@ -76,10 +76,10 @@
     return directory
 
 
-def _let_go(state: AgentState, peer: EntryPeer, now: float) -> None:
+def _forget_if_detached(state: AgentState, peer: EntryPeer, now: float) -> None:
     """Forget an entry that speaks to this agent no more and has nothing here."""
     silent = now - peer.heard_at
-    if silent < DETACH_SECONDS or (peer.ends and silent < FORGET_ENTRY_SECONDS):
+    if silent < DETACH_SECONDS or (peer.pending_ends and silent < FORGET_ENTRY_SECONDS):
         return
     if any(held.entry == peer.address for held in state.held.values()):
         return
@@ -88,26 +88,26 @@
     del state.entries[peer.address]
 
 
-def ask_entries(state: AgentState, now: float) -> None:
+def request_entries(state: AgentState, now: float) -> None:
     """Ask the platform's store for the entries if none is heard."""
     heard = any(
-        peer.life and now - peer.heard_at < ASK_ENTRIES_SECONDS
+        peer.incarnation and now - peer.heard_at < ASK_ENTRIES_SECONDS
         for peer in state.entries.values()
     )
-    if heard or now - state.asked_at < ASK_AGAIN_SECONDS:
+    if heard or now - state.entries_asked_at < ASK_AGAIN_SECONDS:
         return
-    state.asked_at = now
+    state.entries_asked_at = now
     state.effects.append(AskEntries())
 
 
-def entries_read(state: AgentState, event: EntriesRead, now: float) -> None:
+def handle_entries(state: AgentState, event: EntriesRead, now: float) -> None:
     """Take up the entries that the store knows."""
     if event.members is None:
         return
-    stored = {member.address: member.data_centre for member in event.members}
-    for address in stored:
-        if address not in state.stored:
+    stored_entries = {member.address: member.data_centre for member in event.members}
+    for address in stored_entries:
+        if address not in state.stored_entries:
             state.say("learns of an entry from the platform", entry=address)
-    state.stored = stored
+    state.stored_entries = stored_entries
     state.refresh_at = 0.0
     refresh_peers(state, now)
--- a/src/cactuswalk/dispatch/agentlooks.py
+++ b/src/cactuswalk/dispatch/agentpolls.py
@@ -9,59 +9,59 @@
 from cactuswalk.dispatch.agentheld import HeldState
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.bounds import WORKER_LEASE_SECONDS
-from cactuswalk.dispatch.effects import LookAtWorker
+from cactuswalk.dispatch.effects import PollWorker
 
-__all__ = ["check_if_wanted", "look", "look_if_due"]
+__all__ = ["check_if_requested", "poll", "poll_if_due"]
 
 # How long a look may wait at the worker for an end: the worker's lease is renewed
 # at least three times within its length.
-LOOK_WAIT_SECONDS = 0.15
+POLL_WAIT_SECONDS = 0.15
 
 # A look after a stop: the end is listed within the worker's time for a stop.
-STOP_LOOK_WAIT_SECONDS = 0.06
+STOP_POLL_WAIT_SECONDS = 0.06
 
 # After a look without an answer the next ones wait only so long, in seconds, for a
 # while: what the next lost answer hides is noticed before a short task is late.
-UNSURE_LOOK_WAIT_SECONDS = 0.02
-UNSURE_SECONDS = 1.0
+SHORT_POLL_WAIT_SECONDS = 0.02
+SHORT_POLLS_SECONDS = 1.0
 
 
-def look_if_due(state: AgentState, now: float) -> None:
+def poll_if_due(state: AgentState, now: float) -> None:
     """Look at the worker if something of it has to be known."""
-    if state.worker is None or state.look_under_way or now < state.look_not_before:
+    if state.worker is None or state.poll_pending or now < state.poll_not_before:
         return
     if state.held and state.ready_to_start:
         # It notes the ends of the last one too, and waits for the next.
-        look(state, now, _wait_seconds(state, now))
-    elif not state.ready_to_start or state.highest_end > state.noted_end:
-        look(state, now, 0.0)
+        poll(state, now, _wait_seconds(state, now))
+    elif not state.ready_to_start or state.highest_end > state.acknowledged_end:
+        poll(state, now, 0.0)
 
 
 def _wait_seconds(state: AgentState, now: float) -> float:
-    if now - state.unanswered_look_at < UNSURE_SECONDS:
-        return UNSURE_LOOK_WAIT_SECONDS
+    if now - state.unanswered_poll_at < SHORT_POLLS_SECONDS:
+        return SHORT_POLL_WAIT_SECONDS
     if any(held.state is HeldState.STOPPING for held in state.held.values()):
-        return STOP_LOOK_WAIT_SECONDS
-    return LOOK_WAIT_SECONDS
+        return STOP_POLL_WAIT_SECONDS
+    return POLL_WAIT_SECONDS
 
 
-def look(state: AgentState, now: float, wait_seconds: float) -> None:
+def poll(state: AgentState, now: float, wait_seconds: float) -> None:
     """Look at the worker, and wait there for an end."""
-    state.look_under_way = True
+    state.poll_pending = True
     _send(state, now, wait_seconds, is_check=False)
 
 
-def check_if_wanted(state: AgentState, now: float) -> None:
+def check_if_requested(state: AgentState, now: float) -> None:
     """Look at the worker beside a look that waits, and don't wait.
 
     A start without an answer is settled by what a look shows that was sent after
     it. The one that waits would show it too late for a short task, and tasks whose
     answer alone was lost would be stopped and begun anew.
     """
-    if not state.check_wanted or state.check_under_way or state.worker is None:
+    if not state.check_requested or state.check_pending or state.worker is None:
         return
-    state.check_wanted = False
-    state.check_under_way = True
+    state.check_requested = False
+    state.check_pending = True
     _send(state, now, 0.0, is_check=True)
 
 
@@ -75,7 +75,7 @@
     if lease:
         state.renewed_at = now
     state.effects.append(
-        LookAtWorker(
+        PollWorker(
             state.worker.identifier,
             state.token,
             state.highest_end,
--- a/src/cactuswalk/dispatch/agentreports.py
+++ b/src/cactuswalk/dispatch/agentreports.py
@@ -58,10 +58,10 @@
 def _address(general: Report, peer: EntryPeer, held: list[int], now: float) -> Report:
     """Return the report for one entry, with what it alone is told."""
     report = copy.copy(general)
-    report.entry_life = peer.life
-    report.seen = peer.seen
-    report.held = held + list(peer.ends)
-    report.hears = bool(peer.life) and peer.is_heard(now)
+    report.entry_life = peer.incarnation
+    report.seen = peer.last_sequence
+    report.held = held + list(peer.pending_ends)
+    report.hears = bool(peer.incarnation) and peer.is_heard(now)
     report.members_seen = peer.members_version
     report.home = peer.home
     return report
@@ -71,11 +71,11 @@
     """Return what all entries are told alike."""
     cpu, memory_mb, gpu = state.room()
     worker = state.worker
-    trial = state.soundness.is_doubtful
-    may_try = not trial or state.may_try(now)
+    trial = state.health.is_restricted
+    can_try = not trial or state.can_try(now)
     left = state.seconds_left(now)
     return Report(
-        life=state.life,
+        life=state.incarnation,
         entry_life="",
         stamp=int(now * 1000),
         seen=0,
@@ -85,13 +85,13 @@
         service=worker.service if worker else "",
         data_centre=worker.data_centre if worker else state.data_centre,
         labels=list(worker.labels) if worker else [],
-        open=state.is_open(now) and may_try,
+        open=state.is_open(now) and can_try,
         trial=trial,
         cpu=worker.cpu if worker else 0,
         free_cpu=cpu,
         free_memory_mb=memory_mb,
         free_gpu=gpu,
-        pace=round(state.soundness.pace, 3),
+        pace=round(state.health.pace, 3),
         members_seen=0,
         home=False,
         leaves_in_ms=0 if left == math.inf else max(1, int(left * 1000)),
--- a/src/cactuswalk/dispatch/agentstate.py
+++ b/src/cactuswalk/dispatch/agentstate.py
@@ -2,7 +2,7 @@
 
 import math
 
-from cactuswalk.dispatch.agentheld import EntryPeer, Held
+from cactuswalk.dispatch.agentheld import EntryPeer, HeldTask
 from cactuswalk.dispatch.effects import (
     Effect,
     Observe,
@@ -12,14 +12,14 @@
 from cactuswalk.dispatch.evacuation import NOTHING_EVACUATED, Evacuations
 from cactuswalk.dispatch.job import Worker
 from cactuswalk.dispatch.messages import Ended, TaskEnd
-from cactuswalk.dispatch.soundness import (
-    Soundness,
+from cactuswalk.dispatch.workerhealth import (
+    WorkerHealth,
 )
 
 __all__ = ["AgentState"]
 
 # What entries send before they hear that an agent is closed arrives within so long.
-CLOSED_SECONDS = 0.1
+CLOSE_DELAY_SECONDS = 0.1
 
 
 class AgentState:
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        life: str,
+        incarnation: str,
         token: int,
         seeds: list[str],
         name: str,
@@ -49,7 +49,7 @@
         grace_seconds: float,
         drain_seconds: float,
     ) -> None:
-        self.life = life
+        self.incarnation = incarnation
         self.token = token
         self.seeds = list(seeds)
         self.name = name
@@ -61,7 +61,7 @@
         self.closes_at = math.inf
         self.stop_by = math.inf
         self.entries: dict[str, EntryPeer] = {}
-        self.stored: dict[str, str] = {}
+        self.stored_entries: dict[str, str] = {}
         self.refresh_at = 0.0
         self.evacuations = NOTHING_EVACUATED
         self.worker: Worker | None = None
@@ -69,24 +69,24 @@
         self.announced_at = 0.0
         self.reachable = False
         self.ready_to_start = False
-        self.soundness = Soundness()
-        self.held: dict[int, Held] = {}
+        self.health = WorkerHealth()
+        self.held: dict[int, HeldTask] = {}
         # By the life of the entry and its sequence: a new life counts from 1 again,
         # while starts of the one before may still be on their way to a stop.
         self.by_sequence: dict[tuple[str, int], int] = {}
         self.runs: dict[object, int] = {}
         self.next_handle = 1
-        self.noted_end = 0
+        self.acknowledged_end = 0
         self.highest_end = 0
-        self.look_under_way = False
-        self.look_not_before = 0.0
-        self.unanswered_look_at = -math.inf
-        self.check_wanted = False
-        self.check_under_way = False
+        self.poll_pending = False
+        self.poll_not_before = 0.0
+        self.unanswered_poll_at = -math.inf
+        self.check_requested = False
+        self.check_pending = False
         self.renewed_at = 0.0
         self.answered_at = 0.0
         self.stopping = False
-        self.asked_at = 0.0
+        self.entries_asked_at = 0.0
         self.effects: list[Effect] = []
 
     def is_idle(self, now: float) -> bool:
@@ -96,10 +96,10 @@
         hold a planned stop up until the process is about to be killed. What was sent
         before the entries heard that this agent is closed may still be on its way.
         """
-        if self.held or (self.stopping and now < self.closes_at + CLOSED_SECONDS):
+        if self.held or (self.stopping and now < self.closes_at + CLOSE_DELAY_SECONDS):
             return False
         return not any(
-            peer.ends and peer.is_heard(now) for peer in self.entries.values()
+            peer.pending_ends and peer.is_heard(now) for peer in self.entries.values()
         )
 
     def room(self) -> tuple[int, int, int]:
@@ -147,7 +147,7 @@
         """Return whether the data centre's workers are to get no new tasks."""
         return self.data_centre in self.evacuations.data_centres
 
-    def take_evacuations(self, evacuations: Evacuations, entry: str) -> None:
+    def apply_evacuations(self, evacuations: Evacuations, entry: str) -> None:
         """Take or refuse tasks by newer evacuations from now on.
 
         :param entry: who told of them.
@@ -164,13 +164,13 @@
             entry=entry,
             held=len(self.held),
         )
-        self.touch_entries()
+        self.mark_entries_dirty()
 
-    def may_try(self, now: float) -> bool:
+    def can_try(self, now: float) -> bool:
         """Return whether an unsound worker may be given a task to see how it does."""
-        if self.soundness.on_trial and self.held:
+        if self.health.on_trial and self.held:
             return False
-        return self.soundness.may_try(now)
+        return self.health.can_try(now)
 
     def say(self, sentence: str, **fields: object) -> None:
         """Have a log line written."""
@@ -180,40 +180,42 @@
         """Have an event counted, or a duration recorded."""
         self.effects.append(Observe(name, label, seconds))
 
-    def touch_entries(self) -> None:
+    def mark_entries_dirty(self) -> None:
         """Have every entry told of a change, soon."""
         for peer in self.entries.values():
-            if peer.life:
+            if peer.incarnation:
                 peer.dirty = True
 
-    def tell(self, peer: EntryPeer, ended: Ended, now: float) -> None:
+    def send_end(self, peer: EntryPeer, ended: Ended, now: float) -> None:
         """Tell an entry of an end, and keep it until it is noted."""
-        peer.ends[ended.sequence] = ended
-        peer.told_at[ended.sequence] = now
+        peer.pending_ends[ended.sequence] = ended
+        peer.end_sent_at[ended.sequence] = now
         peer.urgent = True
         self.effects.append(SendMessage(peer.address, ended))
 
     def end(
-        self, held: Held, end: TaskEnd, ran_ms: int, reason: str, now: float
+        self, held: HeldTask, end: TaskEnd, ran_ms: int, reason: str, now: float
     ) -> None:
         """Forget a start that has ended, and tell its entry."""
         del self.held[held.handle]
         del self.by_sequence[(held.start.life, held.start.sequence)]
-        self.touch_entries()
+        self.mark_entries_dirty()
         self.observe("ended", end.name.lower())
         if end not in (TaskEnd.DONE, TaskEnd.DECLINED):
             self.say(
                 "a run has ended",
-                **held.names(),
+                **held.log_fields(),
                 end=end.name.lower(),
                 reason=reason,
                 ran_ms=ran_ms,
             )
         peer = self.entries.get(held.entry)
-        if peer is None or peer.life != held.start.life:
+        if peer is None or peer.incarnation != held.start.life:
             return
-        ended = Ended(peer.life, held.start.sequence, end, held.run, ran_ms, reason)
-        self.tell(peer, ended, now)
+        ended = Ended(
+            peer.incarnation, held.start.sequence, end, held.run, ran_ms, reason
+        )
+        self.send_end(peer, ended, now)
 
     def is_current(self, worker: str) -> bool:
         """Return whether a name is the present worker's."""
--- a/src/cactuswalk/dispatch/agentview.py
+++ b/src/cactuswalk/dispatch/agentview.py
@@ -9,7 +9,7 @@
     ENTRY_LEASE_SECONDS,
     HEARD_SECONDS,
     MARGIN_SECONDS,
-    lost_after,
+    agent_lapse_seconds,
 )
 from cactuswalk.dispatch.jobstate import TaskState
 from cactuswalk.dispatch.messages import Report, Start
@@ -90,7 +90,10 @@
         """
         if report.stamp >= self.report.stamp:
             return False
-        return report.life == self.report.life or now - self.heard_at < lost_after()
+        return (
+            report.life == self.report.life
+            or now - self.heard_at < agent_lapse_seconds()
+        )
 
     def add(self, placed: Placed) -> None:
         """Reckon with a start that the agent has not reported yet."""
@@ -143,7 +146,7 @@
 
     def silent_gone_at(self) -> float:
         """Return when all that was placed here has ended, if it stays silent."""
-        return self.heard_at + lost_after()
+        return self.heard_at + agent_lapse_seconds()
 
     def _reckon_room(self) -> None:
         report = self.report
--- a/src/cactuswalk/dispatch/bounds.py
+++ b/src/cactuswalk/dispatch/bounds.py
@@ -18,8 +18,8 @@
     "STOP_SECONDS",
     "UNHEARD_SECONDS",
     "WORKER_LEASE_SECONDS",
-    "lost_after",
-    "orphan_ends_after",
+    "agent_lapse_seconds",
+    "orphan_lapse_seconds",
     "worker_lapse_seconds",
 ]
 
@@ -72,7 +72,7 @@
     return WORKER_LEASE_SECONDS * (1 + CLOCK_DRIFT)
 
 
-def orphan_ends_after() -> float:
+def orphan_lapse_seconds() -> float:
     """Return how long tasks may outlive the entry that answers for them.
 
     The agent stops them when the entry's lease ends; where the agent has gone as
@@ -82,7 +82,7 @@
     return max(stopped, worker_lapse_seconds())
 
 
-def lost_after() -> float:
+def agent_lapse_seconds() -> float:
     """Return when an entry may run a silent agent's tasks elsewhere.
 
     Counted from the agent's last report, which brought the youngest stamp that
--- a/src/cactuswalk/dispatch/effects.py
+++ b/src/cactuswalk/dispatch/effects.py
@@ -9,8 +9,8 @@
     "Answer",
     "AskEntries",
     "Effect",
-    "LookAtWorker",
     "Observe",
+    "PollWorker",
     "Say",
     "SendMessage",
     "StartTask",
@@ -62,8 +62,8 @@
     token: int
 
 
-class LookAtWorker(msgspec.Struct):
-    """Renew the worker's lease and see what it runs; ends in ``Looked``.
+class PollWorker(msgspec.Struct):
+    """Renew the worker's lease and see what it runs; ends in ``PollAnswered``.
 
     :param noted: ends up to this number may be forgotten.
     :param wait_ms: how long the answer may wait for an end.
@@ -103,7 +103,7 @@
     | Answer
     | StartTask
     | StopTask
-    | LookAtWorker
+    | PollWorker
     | AskEntries
     | Say
     | Observe
--- a/src/cactuswalk/dispatch/entryoverflow.py
+++ b/src/cactuswalk/dispatch/entryoverflow.py
@@ -5,7 +5,7 @@
 from cactuswalk.dispatch.ordering import serving_order
 from cactuswalk.dispatch.overflow import agents_to_offer, whom_to_ask
 
-__all__ = ["room_asked", "room_offered", "seek_agents", "seek_room", "release_overflow"]
+__all__ = ["release_overflow", "room_asked", "room_offered", "seek_agents", "seek_room"]
 
 # A job that has just come is not worth a question: the home agents free room all the
 # time, and an overflow agent costs messages for a second or more.
--- a/src/cactuswalk/dispatch/leaving.py
+++ b/src/cactuswalk/dispatch/leaving.py
@@ -11,34 +11,34 @@
 end there is given back as soon as that is known.
 """
 
-from cactuswalk.dispatch.soundness import LEAST_PROGRESS_SECONDS, Progress
+from cactuswalk.dispatch.workerhealth import MIN_PROGRESS_SECONDS, Progress
 
-__all__ = ["can_not_end", "ends_in_time"]
+__all__ = ["can_finish_in_time", "cannot_finish"]
 
 # Callers' estimates are off by 40%; a task that is lost costs more than one that
 # waits a moment longer.
-LONGER_FACTOR = 1.5
+OVERRUN_FACTOR = 1.5
 
 # The report was some time on its way, the start will be, and so is the word of the end.
-WAY_MS = 200
+MESSAGE_DELAY_MS = 200
 
 # A run is given back if it would take so much longer than there is time. Progress
 # comes in whole percents, and the time that is left is the least that there is.
-LATE_FACTOR = 1.1
-LATE_MS = 50
+SHORTFALL_FACTOR = 1.1
+SHORTFALL_MS = 50
 
 
-def ends_in_time(expected_ms: float, left_ms: float) -> bool:
+def can_finish_in_time(expected_ms: float, remaining_ms: float) -> bool:
     """Return whether a task that is sent now ends before its worker leaves.
 
     :param expected_ms: how long it is expected to run there.
     :param left_ms: until the worker leaves.
     """
-    return LONGER_FACTOR * expected_ms + WAY_MS <= left_ms
+    return OVERRUN_FACTOR * expected_ms + MESSAGE_DELAY_MS <= remaining_ms
 
 
-def can_not_end(task: Progress, left_ms: float) -> bool:
+def cannot_finish(task: Progress, remaining_ms: float) -> bool:
     """Return whether a running task is lost with its worker."""
-    if task.seconds < LEAST_PROGRESS_SECONDS:
+    if task.seconds < MIN_PROGRESS_SECONDS:
         return False
-    return task.left_ms > LATE_FACTOR * left_ms + LATE_MS
+    return task.remaining_ms > SHORTFALL_FACTOR * remaining_ms + SHORTFALL_MS
--- a/src/cactuswalk/dispatch/placement.py
+++ b/src/cactuswalk/dispatch/placement.py
@@ -23,7 +23,7 @@
 from cactuswalk.dispatch.agentview import AgentView
 from cactuswalk.dispatch.job import Step
 from cactuswalk.dispatch.jobstate import TaskState
-from cactuswalk.dispatch.leaving import ends_in_time
+from cactuswalk.dispatch.leaving import can_finish_in_time
 
 __all__ = ["Chooser", "any_large_enough", "can_ever_run", "relative_paces"]
 
@@ -161,7 +161,9 @@
         if view.report.trial and view.placed:
             return False
         left_ms = view.report.leaves_in_ms
-        if left_ms and not ends_in_time(step.estimate_ms * view.report.pace, left_ms):
+        if left_ms and not can_finish_in_time(
+            step.estimate_ms * view.report.pace, left_ms
+        ):
             return False
         if self.paces[view.address] > SLOW_FACTOR and len(view.placed) >= PROBE_TASKS:
             return False
--- a/src/cactuswalk/dispatch/soundness.py
+++ b/src/cactuswalk/dispatch/workerhealth.py
@@ -11,11 +11,11 @@
 import msgspec
 
 __all__ = [
-    "LEAST_PROGRESS_SECONDS",
+    "MIN_PROGRESS_SECONDS",
     "Progress",
-    "Soundness",
-    "foretold_pace",
-    "lately",
+    "WorkerHealth",
+    "pace_from_progress",
+    "recent_speed",
     "should_move",
 ]
 
@@ -24,37 +24,37 @@
 PACE_GAIN = 1 / 16
 
 # Below this many ends a pace says little, and is drawn towards 1.
-PACE_PRIOR = 4
+PACE_PRIOR_SAMPLES = 4
 
 # Failures in a row, of different jobs, after which a worker is on trial. A job that can
 # never be done fails everywhere; where a few of a hundred are such, three in a row are
 # rarely chance.
-FAILURES_TO_TRIAL = 3
+FAILURES_BEFORE_TRIAL = 3
 
 # A worker on trial gets a task this often, so that the trial costs little.
 TRIAL_SECONDS = 0.5
 
 # Successes in a row that end a trial.
-SUCCESSES_TO_TRUST = 2
+SUCCESSES_TO_END_TRIAL = 2
 
 # A worker drags when the progress of what it runs foretells this many times the
 # run times that it has shown so far. Estimates are off by 40%, and three tasks of
 # two jobs average that to a quarter.
-DRAG_FACTOR = 3.0
-FEWEST_DRAGGING_TASKS = 3
+SLOWDOWN_FACTOR = 3.0
+MIN_SLOWDOWN_TASKS = 3
 # Where callers' estimates are twice too long all paces are low, and what still runs
 # at any moment is the longer part of the tasks: by the pace alone sound workers would
 # be taken for slow.
-LEAST_PACE = 0.8
-FEWEST_DRAGGING_JOBS = 2
+MIN_PACE = 0.8
+MIN_SLOWDOWN_JOBS = 2
 
 # A task that takes less than this part of its worker's pace tells that the worker
 # has recovered: a slow one gets one task at a time, and three of them must do.
-RECOVERED_PART = 0.5
+RECOVERED_RATIO = 0.5
 RECOVERY_GAIN = 0.5
 
 # Progress says little before a task has run for this long, in seconds.
-LEAST_PROGRESS_SECONDS = 0.1
+MIN_PROGRESS_SECONDS = 0.1
 
 # A task is moved off a dragging worker if it would run there for this many times
 # its estimate yet: anywhere else it is done sooner, though it starts anew.
@@ -76,18 +76,18 @@
     speed: float = 0.0
 
     @property
-    def whole_ms(self) -> float:
+    def total_ms(self) -> float:
         """How long all of it would take, at the speed that it has lately."""
         speed = self.speed or max(1, self.percent) / self.seconds
         return 100 / speed * 1000
 
     @property
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """How long it will run yet, at the speed that it has lately."""
-        return self.whole_ms * (100 - self.percent) / 100
+        return self.total_ms * (100 - self.percent) / 100
 
 
-def lately(percent: int, seconds: float) -> float:
+def recent_speed(percent: int, seconds: float) -> float:
     """Return the speed of a run that went on by so much, in percent a second.
 
     Whole percents are listed, so that up to one more may have been done.
@@ -95,7 +95,7 @@
     return (percent + 1) / seconds
 
 
-def foretold_pace(tasks: list[Progress]) -> float:
+def pace_from_progress(tasks: list[Progress]) -> float:
     """Return what the running tasks' progress says of a worker's pace.
 
     A worker that turns several times slower ends nothing for a while, so that its
@@ -106,45 +106,45 @@
     told = [
         task
         for task in tasks
-        if task.seconds >= LEAST_PROGRESS_SECONDS and task.estimate_ms > 0
+        if task.seconds >= MIN_PROGRESS_SECONDS and task.estimate_ms > 0
     ]
-    if len(told) < FEWEST_DRAGGING_TASKS:
+    if len(told) < MIN_SLOWDOWN_TASKS:
         return 0.0
-    if len({task.job for task in told}) < FEWEST_DRAGGING_JOBS:
+    if len({task.job for task in told}) < MIN_SLOWDOWN_JOBS:
         return 0.0
-    return statistics.median(task.whole_ms / task.estimate_ms for task in told)
+    return statistics.median(task.total_ms / task.estimate_ms for task in told)
 
 
 def should_move(task: Progress) -> bool:
     """Return whether a task on a dragging worker is better begun elsewhere."""
-    if task.seconds < LEAST_PROGRESS_SECONDS:
+    if task.seconds < MIN_PROGRESS_SECONDS:
         return False
-    return task.left_ms > MOVE_FACTOR * task.estimate_ms
+    return task.remaining_ms > MOVE_FACTOR * task.estimate_ms
 
 
-class Soundness(msgspec.Struct):
+class WorkerHealth(msgspec.Struct):
     """What one life of a worker has shown.
 
     :param pace: run time over estimate, averaged.
     :param drags: it turned far slower, and no task has shown yet that it recovered.
-    :param trial_began: when it was put on trial; ``trial_at``, when it failed last.
+    :param trial_started_at: when it was put on trial.
     """
 
     pace: float = 1.0
-    drags: bool = False
-    ends: int = 0
+    is_slow: bool = False
+    samples: int = 0
     failed_jobs: list[str] = msgspec.field(default_factory=list)
     successes: int = 0
     on_trial: bool = False
-    trial_began: float = 0.0
-    trial_at: float = 0.0
+    trial_started_at: float = 0.0
+    last_trial_at: float = 0.0
 
     @property
-    def is_doubtful(self) -> bool:
+    def is_restricted(self) -> bool:
         """Whether it gets a task only now and then, to see how it does."""
-        return self.on_trial or self.drags
+        return self.on_trial or self.is_slow
 
-    def done(self, estimate_ms: int, ran_ms: float, began: float) -> None:
+    def record_success(self, estimate_ms: int, ran_ms: float, began: float) -> None:
         """Take note of a task that ended well.
 
         A run that began before the worker turned bad tells nothing of it now: two
@@ -153,58 +153,58 @@
         :param began: when it started to run, by the agent's clock.
         """
         self.failed_jobs.clear()
-        self.observe_pace(estimate_ms, ran_ms)
-        if self.on_trial and began >= self.trial_began:
+        self.update_pace(estimate_ms, ran_ms)
+        if self.on_trial and began >= self.trial_started_at:
             self.successes += 1
-            self.on_trial = self.successes < SUCCESSES_TO_TRUST
+            self.on_trial = self.successes < SUCCESSES_TO_END_TRIAL
 
-    def failed(self, job: str, now: float) -> bool:
+    def record_failure(self, job: str, now: float) -> bool:
         """Take note of a task that failed; return whether a trial begins."""
         if job not in self.failed_jobs:
             self.failed_jobs.append(job)
         if self.on_trial:
             self.successes = 0
-            self.trial_at = now
+            self.last_trial_at = now
             return False
-        if len(self.failed_jobs) < FAILURES_TO_TRIAL:
+        if len(self.failed_jobs) < FAILURES_BEFORE_TRIAL:
             return False
         self._begin_trial(now)
         return True
 
-    def stalled(self, now: float) -> bool:
+    def record_stall(self, now: float) -> bool:
         """Take note of a task that stands still; return whether a trial begins."""
         began = not self.on_trial
         self._begin_trial(now)
         return began
 
-    def observe_pace(self, estimate_ms: int, ran_ms: float) -> None:
+    def update_pace(self, estimate_ms: int, ran_ms: float) -> None:
         """Learn from how long a task ran, or has to run by its progress."""
         if estimate_ms <= 0 or ran_ms <= 0:
             return
-        self.ends += 1
+        self.samples += 1
         ratio = ran_ms / estimate_ms
-        gain = max(PACE_GAIN, 1 / (self.ends + PACE_PRIOR))
-        if ratio < self.pace * RECOVERED_PART:
+        gain = max(PACE_GAIN, 1 / (self.samples + PACE_PRIOR_SAMPLES))
+        if ratio < self.pace * RECOVERED_RATIO:
             gain = RECOVERY_GAIN
-            self.drags = False
+            self.is_slow = False
         self.pace += gain * (ratio - self.pace)
 
-    def begins_to_drag(self, foretold: float) -> bool:
+    def detect_slowdown(self, expected_pace: float) -> bool:
         """Return whether progress foretells a worker far slower than it was.
 
         Its pace is then taken for what is foretold, until ends show another.
         """
-        if foretold <= DRAG_FACTOR * max(self.pace, LEAST_PACE):
+        if expected_pace <= SLOWDOWN_FACTOR * max(self.pace, MIN_PACE):
             return False
-        self.pace = foretold
-        self.drags = True
+        self.pace = expected_pace
+        self.is_slow = True
         return True
 
-    def may_try(self, now: float) -> bool:
+    def can_try(self, now: float) -> bool:
         """Return whether a worker on trial may be given its next task."""
-        return now - self.trial_at >= TRIAL_SECONDS
+        return now - self.last_trial_at >= TRIAL_SECONDS
 
     def _begin_trial(self, now: float) -> None:
         self.on_trial = True
         self.successes = 0
-        self.trial_began = self.trial_at = now
+        self.trial_started_at = self.last_trial_at = now
--- a/src/cactuswalk/platform/worker.py
+++ b/src/cactuswalk/platform/worker.py
@@ -10,8 +10,8 @@
 from cactuswalk.dispatch.agentevents import (
     AgentEvent,
     EndedRow,
-    Looked,
-    LookFailed,
+    PollAnswered,
+    PollFailed,
     RunEnd,
     RunningRow,
     StartAnswered,
@@ -19,7 +19,7 @@
     StopAnswered,
 )
 from cactuswalk.dispatch.bounds import CALL_TIMEOUT_SECONDS
-from cactuswalk.dispatch.effects import LookAtWorker, StartTask, StopTask
+from cactuswalk.dispatch.effects import PollWorker, StartTask, StopTask
 from cactuswalk.platform.names import task_key, task_name
 
 __all__ = ["WorkerClient"]
@@ -126,7 +126,7 @@
             return StopAnswered(effect.worker, effect.handle, False)
         return StopAnswered(effect.worker, effect.handle, status == 200)
 
-    async def look(self, effect: LookAtWorker) -> AgentEvent:
+    async def look(self, effect: PollWorker) -> AgentEvent:
         """Renew the lease and list what runs and what has ended."""
         sent_at = self.clock()
         body = {
@@ -140,13 +140,13 @@
         try:
             status, reply = await self._call(LOOK_PATH, effect.worker, body, within)
         except CallLostError as error:
-            return LookFailed(effect.worker, False, error.refused, effect.is_check)
+            return PollFailed(effect.worker, False, error.refused, effect.is_check)
         if status != 200:
             fenced = reply.reason == "fence"
-            return LookFailed(
+            return PollFailed(
                 effect.worker, fenced, status == OTHER_LIFE, effect.is_check
             )
-        return Looked(
+        return PollAnswered(
             effect.worker,
             sent_at,
             [_running(row) for row in reply.running],
--- a/src/cactuswalk/runtime/dispatchagent.py
+++ b/src/cactuswalk/runtime/dispatchagent.py
@@ -15,7 +15,7 @@
     Tick,
 )
 from cactuswalk.dispatch.agentstate import AgentState
-from cactuswalk.dispatch.effects import AskEntries, LookAtWorker, StartTask, StopTask
+from cactuswalk.dispatch.effects import AskEntries, PollWorker, StartTask, StopTask
 from cactuswalk.observations import Part
 from cactuswalk.platform.announcements import AnnouncementEdge
 from cactuswalk.platform.errors import PlatformError
@@ -69,7 +69,7 @@
         self.application.performers |= {
             StartTask: lambda effect: self._call(self.worker.start(effect)),
             StopTask: lambda effect: self._call(self.worker.stop(effect)),
-            LookAtWorker: lambda effect: self._call(self.worker.look(effect)),
+            PollWorker: lambda effect: self._call(self.worker.look(effect)),
             AskEntries: lambda effect: self._call(self._ask_entries()),
         }
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -57,9 +57,9 @@
     ),
     SourceChange(
         "trial of a worker that fails",
-        f"{DISPATCH}/soundness.py",
-        "FAILURES_TO_TRIAL = 3",
-        "FAILURES_TO_TRIAL = 1_000_000",
+        f"{DISPATCH}/workerhealth.py",
+        "FAILURES_BEFORE_TRIAL = 3",
+        "FAILURES_BEFORE_TRIAL = 1_000_000",
     ),
     SourceChange(
         "the last attempt only where it is trusted",
@@ -69,9 +69,9 @@
     ),
     SourceChange(
         "tasks given back by a worker that drags",
-        f"{DISPATCH}/soundness.py",
-        "DRAG_FACTOR = 3.0",
-        "DRAG_FACTOR = 1e9",
+        f"{DISPATCH}/workerhealth.py",
+        "SLOWDOWN_FACTOR = 3.0",
+        "SLOWDOWN_FACTOR = 1e9",
     ),
     SourceChange(
         "few tasks for a slow worker",
@@ -112,20 +112,20 @@
     SourceChange(
         "a check of starts without an answer",
         f"{DISPATCH}/agentcalls.py",
-        "if held.state is not HeldState.STARTING:\n        call_stop",
-        "if True:\n        held.state = HeldState.DOUBTFUL\n        call_stop",
+        "if held.state is not HeldState.STARTING:\n        request_stop",
+        "if True:\n        held.state = HeldState.UNCONFIRMED\n        request_stop",
     ),
     SourceChange(
         "a check after a doubtful start was stopped",
         f"{DISPATCH}/agentcalls.py",
-        "state.check_wanted |= held.state is HeldState.DOUBTFUL",
+        "state.check_requested |= held.state is HeldState.UNCONFIRMED",
         "pass",
     ),
     SourceChange(
         "short looks after one without an answer",
-        f"{DISPATCH}/agentlooks.py",
-        "UNSURE_SECONDS = 1.0",
-        "UNSURE_SECONDS = 0.0",
+        f"{DISPATCH}/agentpolls.py",
+        "SHORT_POLLS_SECONDS = 1.0",
+        "SHORT_POLLS_SECONDS = 0.0",
     ),
     SourceChange(
         "calls given up after 30 ms, not 50",
