--- a/features/steps/decision_leaving_steps.py
+++ b/features/steps/decision_leaving_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from cactuswalk.decisions.leaving import Leaving
+from cactuswalk.decisions.leaving import EntryShutdown
 
 STEP_S = 0.05
 BEGAN_AT = 100.0
@@ -10,18 +10,18 @@
 
 @given("an entry that a balancer asks for readiness each second")
 def step_asked(context):
-    context.leaving = Leaving()
+    context.leaving = EntryShutdown()
     for before in range(5, 0, -1):
-        context.leaving.ask_ready(True, BEGAN_AT - before)
+        context.leaving.record_readiness_check(True, BEGAN_AT - before)
     context.leaving.begin(BEGAN_AT)
 
 
 @given("an entry that was asked for readiness while it started only")
 def step_not_asked(context):
-    context.leaving = Leaving()
+    context.leaving = EntryShutdown()
     for before in (3.2, 3.1):
-        context.leaving.ask_ready(False, BEGAN_AT - before)
-    context.leaving.ask_ready(True, BEGAN_AT - 3.0)
+        context.leaving.record_readiness_check(False, BEGAN_AT - before)
+    context.leaving.record_readiness_check(True, BEGAN_AT - 3.0)
     context.leaving.begin(BEGAN_AT)
 
 
@@ -30,10 +30,10 @@
     for number in range(int(60 / STEP_S)):
         after = number * STEP_S
         if after >= asks_from and number % 20 == 0:
-            leaving.ask_ready(False, BEGAN_AT + after)
+            leaving.record_readiness_check(False, BEGAN_AT + after)
         if after < submits_until and number % 10 == 0:
-            leaving.take(BEGAN_AT + after)
-        if leaving.is_due(BEGAN_AT + after):
+            leaving.record_submission(BEGAN_AT + after)
+        if leaving.can_exit(BEGAN_AT + after):
             return after
     raise AssertionError("it never leaves")
 
--- a/features/steps/decision_second_attempts_steps.py
+++ b/features/steps/decision_second_attempts_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cactuswalk.decisions.guard import Usage, judge_usage
+from cactuswalk.decisions.guard import Usage, choose_guard_actions
 from cactuswalk.decisions.scheduler import Scheduler
 from cactuswalk.model import Announcement, Capacity, Job, TaskSpec
 from tools.policies_faults import compare_hedging
@@ -191,7 +191,7 @@
         )
         for row in context.table
     ]
-    context.actions = judge_usage(usages, memory, slots)
+    context.actions = choose_guard_actions(usages, memory, slots)
 
 
 @then('the guard\'s actions are "{text}"')
--- a/features/steps/platform_outage_steps.py
+++ b/features/steps/platform_outage_steps.py
@@ -44,11 +44,11 @@
 
 @given("the clients don't back off")
 def step_no_backoff(context):
-    longest = backoff_module.LONGEST_WAIT_SECONDS
-    backoff_module.LONGEST_WAIT_SECONDS = backoff_module.FIRST_WAIT_SECONDS
+    longest = backoff_module.MAX_WAIT_SECONDS
+    backoff_module.MAX_WAIT_SECONDS = backoff_module.INITIAL_WAIT_SECONDS
 
     def restore():
-        backoff_module.LONGEST_WAIT_SECONDS = longest
+        backoff_module.MAX_WAIT_SECONDS = longest
 
     context.clean_ups.append(restore)
 
@@ -162,15 +162,13 @@
     def property_holds(failures, seed):
         backoff, now, generator = Backoff(), 0.0, random.Random(seed)
         for number in range(1, failures + 1):
-            backoff.failed(now, now, generator)
+            backoff.record_failure(now, now, generator)
             # One that was under way at the same time is not a second failure.
-            backoff.failed(now - 1, now, generator)
-            bound = min(
-                0.05 * 2 ** min(number, 20), backoff_module.LONGEST_WAIT_SECONDS
-            )
+            backoff.record_failure(now - 1, now, generator)
+            bound = min(0.05 * 2 ** min(number, 20), backoff_module.MAX_WAIT_SECONDS)
             assert bound / 2 - 1e-6 <= backoff.remaining(now) <= bound + 1e-6
             now = backoff.retry_at
-        backoff.succeeded()
+        backoff.record_success()
         assert backoff.remaining(now) == 0
 
     property_holds()
--- a/src/cactuswalk/decisions/admission.py
+++ b/src/cactuswalk/decisions/admission.py
@@ -21,31 +21,31 @@
 
 from cactuswalk.model import Refusal, RefusalCode
 
-__all__ = ["Backlog", "WaitMargin", "judge", "retry_after_ms"]
+__all__ = ["Backlog", "WaitMargin", "check_admission", "retry_after_ms"]
 
 # The reckoned time in the queue counts this many times, at least and at most.
-LEAST_MARGIN = 2.0
-GREATEST_MARGIN = 10.0
-FIRST_MARGIN = 2.0
+MIN_WAIT_MARGIN = 2.0
+MAX_WAIT_MARGIN = 10.0
+INITIAL_WAIT_MARGIN = 2.0
 
 # In a peak: whoever is nearest to the deadline is hurried, so that only the sum of the
 # queued work counts, and that is expected without a bias.
-PEAK_MARGIN = 1.0
+PEAK_WAIT_MARGIN = 1.0
 
 # One admitted job in fifty may wait longer than was reckoned with the margin, and
 # the margin moves by up to a twentieth for each. A job that has to be shed in the
 # queue moves it by a tenth: that refusal comes seconds late.
-LONGER_PART = 0.02
-LONGER_STEP = 0.05
-SHED_STEP = 0.1
+TARGET_UNDERESTIMATED_PART = 0.02
+MARGIN_STEP = 0.05
+SHED_MARGIN_STEP = 0.1
 
 # A reckoned wait below this, a few messages and a fraction of a run time, says
 # nothing about the margin.
-LEAST_WAIT_TO_LEARN = 0.1
+MIN_WAIT_TO_LEARN_SECONDS = 0.1
 
 # A task is given up as hopeless only if less than this part of its expected run
 # time is left: with heavy-tailed run times most tasks are shorter than the mean.
-HOPEFUL_PART = 0.5
+MIN_RUN_TIME_PART = 0.5
 
 
 class WaitMargin(msgspec.Struct):
@@ -57,28 +57,28 @@
     such that one in fifty waits longer (stochastic approximation of a percentile).
     """
 
-    factor: float = FIRST_MARGIN
+    factor: float = INITIAL_WAIT_MARGIN
 
-    def started(self, waited: float, reckoned: float) -> None:
+    def record_start(self, waited: float, predicted_wait: float) -> None:
         """Take note of an admitted job whose last task has a slot now.
 
-        :param reckoned: without the margin, in seconds.
+        :param predicted_wait: without the margin, in seconds.
         """
-        if reckoned < LEAST_WAIT_TO_LEARN:
+        if predicted_wait < MIN_WAIT_TO_LEARN_SECONDS:
             return
-        if waited > reckoned * self.factor:
-            self.move(LONGER_STEP * (1 - LONGER_PART))
+        if waited > predicted_wait * self.factor:
+            self.adjust(MARGIN_STEP * (1 - TARGET_UNDERESTIMATED_PART))
         else:
-            self.move(-LONGER_STEP * LONGER_PART)
+            self.adjust(-MARGIN_STEP * TARGET_UNDERESTIMATED_PART)
 
-    def shed(self) -> None:
+    def record_shed(self) -> None:
         """Take note of an admitted job that became hopeless in the queue."""
-        self.move(SHED_STEP)
+        self.adjust(SHED_MARGIN_STEP)
 
-    def move(self, step: float) -> None:
+    def adjust(self, step: float) -> None:
         """Move the margin by a small part of itself, within its bounds."""
         moved = self.factor * (1 + step)
-        self.factor = min(GREATEST_MARGIN, max(LEAST_MARGIN, moved))
+        self.factor = min(MAX_WAIT_MARGIN, max(MIN_WAIT_MARGIN, moved))
 
 
 class Backlog(msgspec.Struct, frozen=True):
@@ -89,92 +89,98 @@
         waits, None if it has not waited long.
     :param guaranteed_team: part of the slots that the team has when all queue.
     :param maximum_running: the team's quota, None for no limit.
-    :param special: reckoned wait for the few workers that can take the job, if
+    :param constrained_wait: reckoned wait for the few workers that can take the job, if
         it needs memory or accelerators; 0 otherwise.
-    :param own: work of the job itself.
-    :param mean: run time of the service's tasks.
-    :param longest: expected run time of its longest task, in seconds.
+    :param job_seconds: work of the job itself.
+    :param mean_seconds: run time of the service's tasks.
+    :param longest_seconds: expected run time of its longest task, in seconds.
     :param margin: by which the reckoned time has lately fallen short.
-    :param lasting: the service is in an overload that stays, see ``overload``.
+    :param sustained: the service is in an overload that stays, see ``overload``.
     """
 
     slots: int
-    everyone: float
-    team: float
-    caller: float
+    total_seconds: float
+    team_seconds: float
+    caller_seconds: float
     team_rate: float | None
     guaranteed_team: float
     guaranteed_caller: float
     maximum_running: int | None
-    own: float
-    longest: float
-    mean: float
-    special: float = 0.0
-    margin: float = FIRST_MARGIN
-    lasting: bool = False
+    job_seconds: float
+    longest_seconds: float
+    mean_seconds: float
+    constrained_wait: float = 0.0
+    margin: float = INITIAL_WAIT_MARGIN
+    sustained: bool = False
 
     @property
     def wait(self) -> float:
         """Return the time until the last task has a slot, in seconds."""
         if self.slots == 0:
-            return self.margin * self.special
+            return self.margin * self.constrained_wait
         rate = self.slots * self.guaranteed_team
-        behind_all = (self.everyone + self.own) / self.slots
-        if self.lasting and self.team_rate is not None:
+        behind_all = (self.total_seconds + self.job_seconds) / self.slots
+        if self.sustained and self.team_rate is not None:
             # What the team gets is known, so what it might get does not count.
             rate = max(rate, self.team_rate)
             behind_all = math.inf
-        behind_team = (self.team + self.own) / rate
-        behind_caller = (self.caller + self.own) / (rate * self.guaranteed_caller)
+        behind_team = (self.team_seconds + self.job_seconds) / rate
+        behind_caller = (self.caller_seconds + self.job_seconds) / (
+            rate * self.guaranteed_caller
+        )
         behind = min(behind_all, behind_team, behind_caller)
-        margin = self.margin if self.lasting else PEAK_MARGIN
-        return max(margin * behind, self.margin * self.special)
+        margin = self.margin if self.sustained else PEAK_WAIT_MARGIN
+        return max(margin * behind, self.margin * self.constrained_wait)
 
     @property
     def quota_wait(self) -> float:
         """Return the time that the team's own limit makes it wait."""
         if self.maximum_running is None:
             return 0.0
-        reckoned = (self.team + self.own) / max(1, self.maximum_running)
-        return self.margin * reckoned
+        predicted_wait = (self.team_seconds + self.job_seconds) / max(
+            1, self.maximum_running
+        )
+        return self.margin * predicted_wait
 
 
-def judge(backlog: Backlog, remaining: float, jitter: float) -> Refusal | None:
+def check_admission(
+    backlog: Backlog, remaining: float, jitter: float
+) -> Refusal | None:
     """Return why a job is refused, None if it is taken.
 
     :param remaining: until the caller's deadline, in seconds.
     :param jitter: drawn from 0 to 1, so that refused callers don't return
         together.
     """
-    hopeful = backlog.longest * HOPEFUL_PART
-    if hopeful > remaining:
+    min_run_seconds = backlog.longest_seconds * MIN_RUN_TIME_PART
+    if min_run_seconds > remaining:
         return Refusal(
             RefusalCode.DEADLINE_UNREACHABLE,
-            f"its longest task is expected to take {backlog.longest:.3f} s, and "
-            f"{max(0.0, remaining):.3f} s are left",
+            f"its longest task is expected to take {backlog.longest_seconds:.3f} s, "
+            f"and {max(0.0, remaining):.3f} s are left",
         )
     if backlog.maximum_running == 0:
         return Refusal(RefusalCode.QUOTA_EXCEEDED, "the team's quota is no task at all")
-    late_by_quota = late(backlog.quota_wait, hopeful, remaining)
+    late_by_quota = seconds_late(backlog.quota_wait, min_run_seconds, remaining)
     if late_by_quota > 0 and backlog.maximum_running is not None:
         return Refusal(
             RefusalCode.QUOTA_EXCEEDED,
             f"the team may run {backlog.maximum_running} tasks at a time, and its "
             f"queue needs {backlog.quota_wait:.1f} s; {remaining:.1f} s are left",
-            retry_after_ms(late_by_quota, backlog.mean, jitter),
+            retry_after_ms(late_by_quota, backlog.mean_seconds, jitter),
         )
-    late_by = late(backlog.wait, hopeful, remaining)
+    late_by = seconds_late(backlog.wait, min_run_seconds, remaining)
     if late_by <= 0:
         return None
     return Refusal(
         RefusalCode.OVERLOADED,
         f"the queue before it needs {backlog.wait:.1f} s, and {remaining:.1f} s "
         "are left",
-        retry_after_ms(late_by, backlog.mean, jitter),
+        retry_after_ms(late_by, backlog.mean_seconds, jitter),
     )
 
 
-def late(wait: float, run: float, remaining: float) -> float:
+def seconds_late(wait: float, run: float, remaining: float) -> float:
     """Return how much too long the queue is, in seconds of draining."""
     return wait + run - remaining
 
--- a/src/cactuswalk/decisions/affinity.py
+++ b/src/cactuswalk/decisions/affinity.py
@@ -14,7 +14,7 @@
 import zlib
 from typing import Protocol
 
-__all__ = ["preferred"]
+__all__ = ["choose_preferred"]
 
 # A worker may be used for its keys up to this many times the mean load of the
 # free workers, plus one task: consistent hashing with bounded loads (Mirrokni,
@@ -22,7 +22,7 @@
 LOAD_BOUND = 1.25
 
 
-class Ranked(Protocol):
+class RankedWorker(Protocol):
     """A worker that can be ranked for a key."""
 
     @property
@@ -38,7 +38,7 @@
         """Return its slots."""
 
 
-def preferred(key: str, workers: list[Ranked]) -> Ranked | None:
+def choose_preferred(key: str, workers: list[RankedWorker]) -> RankedWorker | None:
     """Return the first worker in the key's ranking that is within the bound."""
     mean = sum(worker.load for worker in workers) / len(workers)
     within = [
--- a/src/cactuswalk/decisions/backoff.py
+++ b/src/cactuswalk/decisions/backoff.py
@@ -16,17 +16,17 @@
 
 import msgspec
 
-__all__ = ["LONGEST_WAIT_SECONDS", "Backoff", "adapted_timeout"]
+__all__ = ["MAX_WAIT_SECONDS", "Backoff", "adapt_timeout"]
 
 # The service answers in milliseconds (brief), so one blip is over by then.
-FIRST_WAIT_SECONDS = 0.05
+INITIAL_WAIT_SECONDS = 0.05
 
 # A change of the configuration has to be in force everywhere within 5 s
 # (brief); a node that waited longer than that would hear of it too late.
-LONGEST_WAIT_SECONDS = 4.0
+MAX_WAIT_SECONDS = 4.0
 
 # A longer time-out would keep a caller waiting past any use of the answer.
-LONGEST_TIMEOUT_SECONDS = 8.0
+MAX_TIMEOUT_SECONDS = 8.0
 
 # An answer that took half of the time-out is close to not being heard.
 TIMEOUT_MARGIN = 2.0
@@ -45,7 +45,9 @@
     retry_at: float = 0.0
     failed_at: float = float("-inf")
 
-    def failed(self, started: float, now: float, generator: random.Random) -> None:
+    def record_failure(
+        self, started: float, now: float, generator: random.Random
+    ) -> None:
         """Take note that a call which was sent at ``started`` has failed."""
         # Ten calls that were under way together fail together: that is one
         # failure. Counted as ten, one blip would be waited out for seconds.
@@ -53,9 +55,9 @@
             return
         self.failures += 1
         self.failed_at = now
-        self.retry_at = now + wait_seconds(self.failures, generator)
+        self.retry_at = now + draw_wait_seconds(self.failures, generator)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Take note that the service has answered."""
         self.failures = 0
         self.retry_at = 0.0
@@ -65,16 +67,16 @@
         return max(0.0, self.retry_at - now)
 
 
-def wait_seconds(failures: int, generator: random.Random) -> float:
+def draw_wait_seconds(failures: int, generator: random.Random) -> float:
     """Return how long to wait after so many failures in a row."""
     # The exponent is bounded: after an hour 2**failures would be a number of
     # hundreds of digits.
-    bound = FIRST_WAIT_SECONDS * 2 ** min(failures, 16)
-    bound = min(bound, LONGEST_WAIT_SECONDS)
+    bound = INITIAL_WAIT_SECONDS * 2 ** min(failures, 16)
+    bound = min(bound, MAX_WAIT_SECONDS)
     return generator.uniform(bound / 2, bound)
 
 
-def adapted_timeout(shortest: float, current: float, elapsed: float | None) -> float:
+def adapt_timeout(shortest: float, current: float, elapsed: float | None) -> float:
     """Return the time-out for the next call of a service that may be slow.
 
     With a fixed time-out a service that has become slower than it for an hour
@@ -85,7 +87,7 @@
     :param current: the time-out of the call that has just ended.
     :param elapsed: seconds that its answer took, None if it timed out.
     """
-    longest = max(shortest, LONGEST_TIMEOUT_SECONDS)
+    longest = max(shortest, MAX_TIMEOUT_SECONDS)
     if elapsed is None:
         return min(current * TIMEOUT_MARGIN, longest)
     wanted = min(elapsed * TIMEOUT_MARGIN, longest)
--- a/src/cactuswalk/decisions/binding.py
+++ b/src/cactuswalk/decisions/binding.py
@@ -1,7 +1,7 @@
 """Fill free slots from the queue, and clear the queue of what is hopeless."""
 
 from cactuswalk.decisions import placement
-from cactuswalk.decisions.budget import may_be_repeated
+from cactuswalk.decisions.budget import can_be_repeated
 from cactuswalk.decisions.cellstate import CellState
 from cactuswalk.decisions.fitting import RETRY_MS
 from cactuswalk.decisions.longtasks import slots_for_long
@@ -12,7 +12,7 @@
 from cactuswalk.decisions.tasks import Assignment, Shed
 from cactuswalk.model import Refusal, RefusalCode
 
-__all__ = ["assign_service", "drop_empty_lanes", "shed_hopeless"]
+__all__ = ["assign_service", "drop_empty_lanes", "shed_late_jobs"]
 
 
 def assign_service(
@@ -21,18 +21,18 @@
     """Fill the free slots of a service in the order of its queue."""
     lanes = [lane for lane in state.lanes.values() if lane.queued]
     while lanes:
-        best = first_lane(cell, state, lanes)
+        best = select_lane(cell, state, lanes)
         if best is None:
             return
         lane, team = best
-        assignment = start_first(cell, state, lane, team, now)
+        assignment = start_first_task(cell, state, lane, team, now)
         if assignment is None:
             lanes.remove(lane)
             continue
         decided.append(assignment)
 
 
-def first_lane(
+def select_lane(
     cell: CellState, state: Service, lanes: list[Lane]
 ) -> tuple[Lane, TeamQueue] | None:
     """Return the lane whose first task goes next, and that task's team."""
@@ -57,7 +57,7 @@
     return state.long_running < slots_for_long(group.slots, state.short_average)
 
 
-def start_first(
+def start_first_task(
     cell: CellState, state: Service, lane: Lane, team: TeamQueue, now: float
 ) -> Assignment | None:
     """Start the first task of a lane, None if no free worker has room."""
@@ -66,8 +66,8 @@
     memory_mb = state.sizes.predict(spec.memory_mb)
     group = cell.pool.group(lane.key.service, lane.key.selector)
     needs = (memory_mb, spec.accelerators)
-    kept = kept_for_others(state, queued)
-    choice = placement.choose(group, queued.job, *needs, kept)
+    reserved = worker_reserved_for_others(state, queued)
+    choice = placement.choose_worker(group, queued.job, *needs, reserved)
     if choice is None:
         if state.reservation is None and is_due(queued, state.durations.mean, now):
             worker = best_worker(group, *needs)
@@ -76,18 +76,18 @@
         return None
     lane.take(queued, index)
     charged = queued.expected[index]
-    state.begin(queued, lane, charged, now)
-    state.count_out(queued, lane, [index])
+    state.record_start(queued, lane, charged, now)
+    state.record_removal(queued, lane, [index])
     state.retries.earn()
     state.hedges.earn()
     task = RunningTask(index, now, charged, memory_mb, spec.accelerators, queued, lane)
-    cell.place(choice.worker, task, now)
-    if may_be_repeated(queued.job):
+    cell.start_task(choice.worker, task, now)
+    if can_be_repeated(queued.job):
         cell.hedgeable[queued.job.submission] = (choice.worker, task)
     return Assignment(queued.task(index), choice.worker.name, choice.reason)
 
 
-def kept_for_others(state: Service, queued: QueuedJob) -> Worker | None:
+def worker_reserved_for_others(state: Service, queued: QueuedJob) -> Worker | None:
     """Return the worker that is kept for another job than this one."""
     reservation = state.reservation
     if reservation is None:
@@ -98,26 +98,26 @@
     return None if reservation.queued is queued else reservation.worker
 
 
-def shed_hopeless(
+def shed_late_jobs(
     cell: CellState, state: Service, now: float, decided: list[Assignment | Shed]
 ) -> None:
     """Refuse the jobs that can't be answered in time any more; hurry others."""
-    for queued in state.deadlines.take_hurried(now):
+    for queued in state.deadlines.pop_urgent(now):
         queued.urgent = True
         for lane in queued.pending:
-            lane.hurry(queued)
-    for queued in state.deadlines.take_hopeless(now):
-        refusal = refuse_late(cell, queued, now)
-        state.margin.shed()
+            lane.move_to_front(queued)
+    for queued in state.deadlines.pop_unreachable(now):
+        refusal = late_refusal(cell, queued, now)
+        state.margin.record_shed()
         for index in cell.withdraw(queued):
             decided.append(Shed(queued.task(index), refusal))
 
 
-def refuse_late(cell: CellState, queued: QueuedJob, now: float) -> Refusal:
+def late_refusal(cell: CellState, queued: QueuedJob, now: float) -> Refusal:
     """Return why a queued job will not be answered in time."""
     job = queued.job
     group = cell.pool.group(job.service, job.selector)
-    waiting = [lane.peek_of(queued) for lane in queued.pending]
+    waiting = [lane.peek_task(queued) for lane in queued.pending]
     if any(cell.slots_for(job, job.tasks[index]) == 0 for index in waiting):
         message = f"no worker of {job.service} that fits it was able to take it"
         return Refusal(RefusalCode.NO_WORKER_NOW, message, RETRY_MS)
--- a/src/cactuswalk/decisions/budget.py
+++ b/src/cactuswalk/decisions/budget.py
@@ -13,32 +13,32 @@
 
 from cactuswalk.model import Job
 
-__all__ = ["Budget", "hedge_budget", "may_be_repeated", "retry_budget"]
+__all__ = ["Budget", "hedge_budget", "can_be_repeated", "retry_budget"]
 
 # One retry for ten first attempts, as in the retry budgets of published RPC
 # systems: a failing tenth is healed whole, a failing service gets 10% more load.
-RETRY_PART = 0.1
+RETRY_RATIO = 0.1
 
 # Two hedges for a hundred requests: "The Tail at Scale" (Dean, Barroso 2013) cut
 # the 99.9th percentile by over twenty times for 2% more requests.
-HEDGE_PART = 0.02
+HEDGE_RATIO = 0.02
 
 # Saved tokens: enough for a worker's 8 slots to be tried elsewhere at once.
-LARGEST_SAVING = 8.0
+MAX_TOKENS = 8.0
 
 
 class Budget(msgspec.Struct):
     """A balance of second attempts.
 
-    :param part: of a token that each first attempt earns.
+    :param ratio: of a token that each first attempt earns.
     """
 
-    part: float
+    ratio: float
     tokens: float = 1.0
 
     def earn(self) -> None:
         """Count a first attempt."""
-        self.tokens = min(LARGEST_SAVING, self.tokens + self.part)
+        self.tokens = min(MAX_TOKENS, self.tokens + self.ratio)
 
     def spend(self) -> bool:
         """Pay for a second attempt, False if there is too little left."""
@@ -50,14 +50,14 @@
 
 def retry_budget() -> Budget:
     """Return a budget for retries."""
-    return Budget(RETRY_PART)
+    return Budget(RETRY_RATIO)
 
 
 def hedge_budget() -> Budget:
     """Return a budget for hedges."""
-    return Budget(HEDGE_PART)
+    return Budget(HEDGE_RATIO)
 
 
-def may_be_repeated(job: Job) -> bool:
+def can_be_repeated(job: Job) -> bool:
     """Return whether a job may be attempted again though it may have run."""
     return job.request and job.idempotent
--- a/src/cactuswalk/decisions/cellstate.py
+++ b/src/cactuswalk/decisions/cellstate.py
@@ -1,7 +1,7 @@
 """The state that the decisions of one cell share, and its bookkeeping."""
 
-from cactuswalk.decisions.ejection import HealthEvent, blames_worker
-from cactuswalk.decisions.fitting import Departed, misfit
+from cactuswalk.decisions.ejection import PeerHealth, is_worker_at_fault
+from cactuswalk.decisions.fitting import DepartedWorkers, misfit_reason
 from cactuswalk.decisions.joborder import JobOrder
 from cactuswalk.decisions.placement import Pool, RunningTask, Worker
 from cactuswalk.decisions.queueing import Lane, QueuedJob
@@ -19,21 +19,21 @@
 
     def __init__(self, order: JobOrder) -> None:
         self.order = order
-        self.opened = 0
+        self.jobs_opened = 0
         self.pool = Pool()
-        self.departed = Departed()
+        self.departed = DepartedWorkers()
         self.services: dict[str, Service] = {}
         self.jobs: dict[str, QueuedJob] = {}
         self.hedgeable: dict[str, tuple[Worker, RunningTask]] = {}
 
-    def open(self, job: Job, queued_at: float, deadline: float) -> QueuedJob:
+    def new_queued_job(self, job: Job, queued_at: float, deadline: float) -> QueuedJob:
         """Return the entry of a job, with nothing queued yet."""
         state = self.service(job.service)
         expected = [state.durations.predict(task.duration_ms) for task in job.tasks]
         slots = self.pool.group(job.service, job.selector).slots
-        self.opened += 1
+        self.jobs_opened += 1
         place = self.order(queued_at, deadline, expected, slots)
-        order = (place, self.opened)
+        order = (place, self.jobs_opened)
         team, caller = state.shares(job.team, job.caller)
         queued = QueuedJob(
             job, queued_at, deadline, order, team, caller, expected, [], {}
@@ -50,26 +50,26 @@
         if not spec.memory_mb and not spec.accelerators:
             return group.slots
         return sum(
-            slots_on(worker, spec)
+            slots_for_spec(worker, spec)
             for worker in group.members.values()
-            if worker.able and not misfit(worker.announcement, job, spec)
+            if worker.usable_slots and not misfit_reason(worker.announcement, job, spec)
         )
 
-    def special_wait(self, queued: QueuedJob) -> float:
+    def constrained_wait(self, queued: QueuedJob) -> float:
         """Return the wait for workers that have what a job's tasks need.
 
         Most tasks need nothing special, and then it is none.
         """
-        special: dict[Lane, TaskSpec] = {}
+        constrained: dict[Lane, TaskSpec] = {}
         own: dict[Lane, float] = {}
         for spec, lane, seconds in zip(
             queued.job.tasks, queued.lanes, queued.expected, strict=True
         ):
             if spec.memory_mb or spec.accelerators:
-                special[lane] = spec
+                constrained[lane] = spec
                 own[lane] = own.get(lane, 0.0) + seconds
         waits = [0.0]
-        for lane, spec in special.items():
+        for lane, spec in constrained.items():
             slots = self.slots_for(queued.job, spec)
             work = lane.queued_seconds + own[lane]
             if lane.queued + len(own) > slots:
@@ -82,17 +82,17 @@
         taken = []
         for lane in list(queued.pending):
             indexes = lane.clear(queued)
-            state.count_out(queued, lane, indexes)
+            state.record_removal(queued, lane, indexes)
             taken.extend(indexes)
-        self.close(queued)
+        self.forget_if_done(queued)
         return sorted(taken)
 
-    def close(self, queued: QueuedJob) -> None:
+    def forget_if_done(self, queued: QueuedJob) -> None:
         """Forget a job that has nothing queued and nothing running."""
         if queued.queued == 0 and queued.running == 0:
             self.jobs.pop(queued.job.submission, None)
 
-    def learn(
+    def learn_from_success(
         self,
         state: Service,
         worker: Worker,
@@ -103,36 +103,38 @@
         """Correct what is expected of the service and of the worker."""
         spec = task.owner.job.tasks[task.index]
         relative = seconds / max(0.001, state.durations.predict(spec.duration_ms))
-        worker.health.succeed(relative, worker.slots, now)
+        worker.health.record_success(relative, worker.slots, now)
         state.durations.observe(spec.duration_ms, seconds)
-        state.high.observe(seconds)
+        state.high_percentile.observe(seconds)
 
-    def blame(self, worker: Worker, task: RunningTask, now: float) -> None:
+    def attribute_failure(self, worker: Worker, task: RunningTask, now: float) -> None:
         """Hold a failed task against its worker, unless its caller brought it about."""
         queued: QueuedJob = task.owner
         held = now - task.started_at
-        if blames_worker(queued.cancelled, held, task.charged, queued.deadline, now):
+        if is_worker_at_fault(
+            queued.cancelled, held, task.charged, queued.deadline, now
+        ):
             name = queued.job.submission
-            worker.health.fail(name, self.others(worker, now), now)
+            worker.health.record_failure(name, self.peer_health(worker, now), now)
 
-    def others(self, worker: Worker, now: float) -> HealthEvent:
+    def peer_health(self, worker: Worker, now: float) -> PeerHealth:
         """Return how the other workers of a service are doing."""
         service = worker.announcement.service
-        others = [
-            other
-            for other in self.pool.workers.values()
-            if other is not worker and other.announcement.service == service
+        peers = [
+            peer
+            for peer in self.pool.workers.values()
+            if peer is not worker and peer.announcement.service == service
         ]
-        if not others:
-            return HealthEvent(1.0, 1.0)
-        failing = sum(other.health.failing for other in others) / len(others)
-        ejected = sum(now < other.health.ejected_until for other in others)
-        return HealthEvent(failing, (ejected + 1) / (len(others) + 1))
+        if not peers:
+            return PeerHealth(1.0, 1.0)
+        failure_rate = sum(peer.health.failure_rate for peer in peers) / len(peers)
+        ejected = sum(now < peer.health.ejected_until for peer in peers)
+        return PeerHealth(failure_rate, (ejected + 1) / (len(peers) + 1))
 
-    def place(self, worker: Worker, task: RunningTask, now: float) -> None:
+    def start_task(self, worker: Worker, task: RunningTask, now: float) -> None:
         """Let a task hold its slot."""
         self.pool.occupy(worker, task.owner.job.submission, task)
-        self.refresh(worker, now)
+        self.refresh_capacity(worker, now)
 
     def release(self, worker: Worker, submission: str, index: int, now: float) -> None:
         """Take back what a task held, and pay for what it used."""
@@ -141,12 +143,12 @@
             return
         queued: QueuedJob = task.owner
         state = self.service(queued.job.service)
-        state.end(queued, task.lane, task.charged, now - task.started_at)
+        state.record_end(queued, task.lane, task.charged, now - task.started_at)
         self.hedgeable.pop(submission, None)
-        self.close(queued)
-        self.refresh(worker, now)
+        self.forget_if_done(queued)
+        self.refresh_capacity(worker, now)
 
-    def refresh(self, worker: Worker, now: float) -> None:
+    def refresh_capacity(self, worker: Worker, now: float) -> None:
         """Reckon again what a worker can take."""
         state = self.service(worker.announcement.service)
         self.pool.refresh(worker, state.durations.mean, now)
@@ -159,10 +161,10 @@
         return known
 
 
-def slots_on(worker: Worker, spec: TaskSpec) -> int:
+def slots_for_spec(worker: Worker, spec: TaskSpec) -> int:
     """Return how many tasks like this one a worker holds when it has no others."""
     capacity = worker.announcement.capacity
-    slots = worker.able
+    slots = worker.usable_slots
     if spec.memory_mb and capacity.memory_mb:
         slots = min(slots, capacity.memory_mb // spec.memory_mb)
     if spec.accelerators:
--- a/src/cactuswalk/decisions/damping.py
+++ b/src/cactuswalk/decisions/damping.py
@@ -19,14 +19,14 @@
 # The third death within a minute or two holds a worker back. 85 of 8,300 hosts fail
 # on the target's ordinary day, so that two in this time are no chance.
 HALF_LIFE_SECONDS = 60.0
-HOLD_ABOVE = 2.0
-RELEASE_AT = 1.0
+SUPPRESS_ABOVE = 2.0
+REUSE_AT = 1.0
 
 # The longest hold is that of an ejection, five minutes.
-GREATEST_PENALTY = 32.0
+MAX_PENALTY = 32.0
 
 # A penalty that is below this is that of one death five half-lives ago.
-FORGOTTEN_BELOW = 1 / 32
+FORGET_BELOW = 1 / 32
 
 
 class FlapDamping(msgspec.Struct):
@@ -39,21 +39,21 @@
         penalty, died_at = self.penalties.get(worker, (0.0, now))
         return penalty * 0.5 ** ((now - died_at) / HALF_LIFE_SECONDS)
 
-    def died(self, worker: str, now: float) -> None:
+    def record_death(self, worker: str, now: float) -> None:
         """Take note that a life of a worker has ended, and not as planned."""
-        penalty = min(GREATEST_PENALTY, self.penalty(worker, now) + 1)
+        penalty = min(MAX_PENALTY, self.penalty(worker, now) + 1)
         self.penalties[worker] = (penalty, now)
         self._forget(now)
 
-    def held_until(self, worker: str, now: float) -> float:
+    def suppressed_until(self, worker: str, now: float) -> float:
         """Return until when a worker that is back gets nothing; now if it may."""
         penalty = self.penalty(worker, now)
-        if penalty < HOLD_ABOVE:
+        if penalty < SUPPRESS_ABOVE:
             return now
-        return now + HALF_LIFE_SECONDS * math.log2(penalty / RELEASE_AT)
+        return now + HALF_LIFE_SECONDS * math.log2(penalty / REUSE_AT)
 
     def _forget(self, now: float) -> None:
         """Drop what no longer counts: names of workers come and go for ever."""
         for worker in list(self.penalties):
-            if self.penalty(worker, now) < FORGOTTEN_BELOW:
+            if self.penalty(worker, now) < FORGET_BELOW:
                 del self.penalties[worker]
--- a/src/cactuswalk/decisions/ejection.py
+++ b/src/cactuswalk/decisions/ejection.py
@@ -21,32 +21,32 @@
 
 import msgspec
 
-__all__ = ["GREATEST_EJECTED_PART", "Health", "HealthEvent", "blames_worker"]
+__all__ = ["MAX_EJECTED_PART", "Health", "PeerHealth", "is_worker_at_fault"]
 
 # A run of failures ejects if it would come by chance less than once in so many tasks,
 # were the worker no worse than the others. And at least the second figure, since the
 # others' rate is known only roughly.
-CHANCE_OF_RUN = 1e-5
-FEWEST_FAILURES_TO_EJECT = 5
+MAX_CHANCE_PROBABILITY = 1e-5
+MIN_FAILURES_TO_EJECT = 5
 
 # They must come from this many jobs: one job whose tasks all fail says something
 # about the job.
-JOBS_TO_EJECT = 3
+MIN_JOBS_TO_EJECT = 3
 
 # Others failing more often than this means that the worker is not the cause.
-OTHERS_FAILING = 0.5
+MAX_PEER_FAILURE_RATE = 0.5
 
 # Below this rate of failures elsewhere, one failure on trial is enough.
-RARE_FAILURES = 0.1
+RARE_FAILURE_RATE = 0.1
 
 # At most this part of a service's workers may be ejected at a time. A rack of
 # today is 3 of 11 workers.
-GREATEST_EJECTED_PART = 0.34
+MAX_EJECTED_PART = 0.34
 
 # Time away: doubles with each failed trial. The first lets a restart pass; the
 # last costs one failed task in five minutes.
-FIRST_EJECTION_SECONDS = 5.0
-LONGEST_EJECTION_SECONDS = 300.0
+MIN_EJECTION_SECONDS = 5.0
+MAX_EJECTION_SECONDS = 300.0
 
 # Weight of an outcome in a worker's failure rate and relative run time: a memory
 # of some 16 tasks, two rounds of its 8 slots.
@@ -55,14 +55,14 @@
 # A worker drags when its tasks take this many times what was expected of them, and
 # has recovered below the lower bound. Heavy-tailed run times with a deviation as
 # large as the mean put the average of 16 within 1.75 in all but 0.1% of cases.
-DRAG_RATIO = 4.0
+SLOW_RATIO = 4.0
 RECOVERED_RATIO = 2.0
-TASKS_TO_JUDGE_DRAG = 8
+MIN_TASKS_TO_JUDGE_SPEED = 8
 
 # A worker hangs when it runs at least two tasks and none has ended for this many
 # times the mean run time, and at least the brief's "several seconds".
 HANG_RUN_TIMES = 10.0
-LEAST_HANG_SECONDS = 3.0
+MIN_HANG_SECONDS = 3.0
 
 # A failure this close to the deadline was brought about by it: an agent gives up a
 # call at the deadline, and its word takes a message to come.
@@ -70,11 +70,11 @@
 
 # Pause after repeated declines: doubles from the second in a row. A worker whose
 # agent declines at once would otherwise be offered the same task at full speed.
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 5.0
+MIN_PAUSE_SECONDS = 0.05
+MAX_PAUSE_SECONDS = 5.0
 
 
-def blames_worker(
+def is_worker_at_fault(
     cancelled: bool, held: float, expected: float, deadline: float, now: float
 ) -> bool:
     """Return whether a failed task speaks against its worker.
@@ -88,46 +88,46 @@
     if cancelled:
         return False
     ended_by_deadline = now >= deadline - DEADLINE_TOLERANCE_SECONDS
-    return not ended_by_deadline or held >= DRAG_RATIO * expected
+    return not ended_by_deadline or held >= SLOW_RATIO * expected
 
 
-class HealthEvent(msgspec.Struct):
+class PeerHealth(msgspec.Struct):
     """What the others of the service look like when a worker is judged.
 
-    :param others_failing: mean failure rate of the other workers.
+    :param peer_failure_rate: mean failure rate of the other workers.
     :param ejected_part: of the service's workers, were this one ejected too.
     """
 
-    others_failing: float
+    peer_failure_rate: float
     ejected_part: float
 
 
 class Health(msgspec.Struct, eq=False):
     """What is known of a worker's health.
 
-    :param allowance: slots that it may use while it is on trial; None for all.
-    :param drag: its run times relative to what was expected of them.
+    :param trial_slots: slots that it may use while it is on trial; None for all.
+    :param relative_run_time: its run times relative to what was expected of them.
     """
 
     failures: int = 0
     failed_jobs: set[str] = msgspec.field(default_factory=set)
-    failing: float = 0.0
-    drag: float = 1.0
-    judged: int = 0
-    dragging: bool = False
+    failure_rate: float = 0.0
+    relative_run_time: float = 1.0
+    observed_tasks: int = 0
+    is_slow: bool = False
     ejected_until: float = 0.0
     ejections: int = 0
-    allowance: int | None = None
+    trial_slots: int | None = None
     declines: int = 0
     paused_until: float = 0.0
     last_end: float = 0.0
 
     @property
-    def on_trial(self) -> bool:
+    def is_on_trial(self) -> bool:
         """Return whether the worker still has to prove itself."""
-        return self.allowance is not None
+        return self.trial_slots is not None
 
-    def away(self, now: float) -> str:
+    def unavailable_reason(self, now: float) -> str:
         """Return why the worker gets nothing now, an empty text if it may."""
         if now < self.ejected_until:
             return f"ejected for {self.ejected_until - now:.1f} s more"
@@ -135,87 +135,91 @@
             return f"declined {self.declines} starts in a row"
         return ""
 
-    def slots(self, slots: int) -> int:
+    def usable_slots(self, slots: int) -> int:
         """Return how many of its slots may be used."""
-        if self.dragging:
+        if self.is_slow:
             return min(slots, 1)
-        return slots if self.allowance is None else min(slots, self.allowance)
+        return slots if self.trial_slots is None else min(slots, self.trial_slots)
 
-    def hangs(self, running: int, oldest_start: float, mean: float, now: float) -> bool:
+    def is_hung(
+        self, running: int, oldest_start: float, mean: float, now: float
+    ) -> bool:
         """Return whether nothing has ended for suspiciously long."""
         if running < 2:
             return False
         silent = now - max(self.last_end, oldest_start)
-        return silent > max(LEAST_HANG_SECONDS, HANG_RUN_TIMES * mean)
+        return silent > max(MIN_HANG_SECONDS, HANG_RUN_TIMES * mean)
 
     def begin_trial(self) -> None:
         """Start with one slot; successes earn the others."""
-        self.allowance = 1
+        self.trial_slots = 1
 
-    def succeed(self, relative_time: float, slots: int, now: float) -> None:
+    def record_success(self, relative_time: float, slots: int, now: float) -> None:
         """Take note of a success that took so many times what was expected."""
         self.failures = 0
         self.failed_jobs.clear()
-        self.failing -= OUTCOME_GAIN * self.failing
+        self.failure_rate -= OUTCOME_GAIN * self.failure_rate
         self.declines = 0
         self.last_end = now
-        self.judged += 1
-        self.drag += OUTCOME_GAIN * (relative_time - self.drag)
-        if self.judged >= TASKS_TO_JUDGE_DRAG:
-            bound = RECOVERED_RATIO if self.dragging else DRAG_RATIO
-            self.dragging = self.drag > bound
-        if self.allowance is not None:
-            self.allowance += 1
-            if self.allowance >= slots:
-                self.allowance = None
+        self.observed_tasks += 1
+        self.relative_run_time += OUTCOME_GAIN * (
+            relative_time - self.relative_run_time
+        )
+        if self.observed_tasks >= MIN_TASKS_TO_JUDGE_SPEED:
+            bound = RECOVERED_RATIO if self.is_slow else SLOW_RATIO
+            self.is_slow = self.relative_run_time > bound
+        if self.trial_slots is not None:
+            self.trial_slots += 1
+            if self.trial_slots >= slots:
+                self.trial_slots = None
                 self.ejections = 0
 
-    def fail(self, submission: str, others: HealthEvent, now: float) -> bool:
+    def record_failure(self, submission: str, peers: PeerHealth, now: float) -> bool:
         """Take note of a failure; return whether the worker is now ejected."""
         self.failures += 1
         self.last_end = now
-        self.failing += OUTCOME_GAIN * (1 - self.failing)
-        if len(self.failed_jobs) < JOBS_TO_EJECT:
+        self.failure_rate += OUTCOME_GAIN * (1 - self.failure_rate)
+        if len(self.failed_jobs) < MIN_JOBS_TO_EJECT:
             self.failed_jobs.add(submission)
-        if others.others_failing > OTHERS_FAILING:
+        if peers.peer_failure_rate > MAX_PEER_FAILURE_RATE:
             return False
-        if others.ejected_part > GREATEST_EJECTED_PART:
+        if peers.ejected_part > MAX_EJECTED_PART:
             return False
-        if not self.has_failed_trial(others) and not self.has_failed_often(others):
+        if not self.has_failed_trial(peers) and not self.has_failed_often(peers):
             return False
         self.eject(now)
         return True
 
-    def has_failed_often(self, others: HealthEvent) -> bool:
+    def has_failed_often(self, peers: PeerHealth) -> bool:
         """Return whether failures in a row, of enough jobs, speak against it."""
-        if len(self.failed_jobs) < JOBS_TO_EJECT:
+        if len(self.failed_jobs) < MIN_JOBS_TO_EJECT:
             return False
-        return self.failures >= failures_to_eject(others.others_failing)
+        return self.failures >= failures_to_eject(peers.peer_failure_rate)
 
-    def has_failed_trial(self, others: HealthEvent) -> bool:
+    def has_failed_trial(self, peers: PeerHealth) -> bool:
         """Return whether a worker on trial has failed more than others do."""
-        return self.on_trial and others.others_failing < RARE_FAILURES
+        return self.is_on_trial and peers.peer_failure_rate < RARE_FAILURE_RATE
 
     def eject(self, now: float) -> None:
         """Send the worker away, longer each time, to return on trial."""
-        away = FIRST_EJECTION_SECONDS * 2 ** min(self.ejections, 10)
-        self.ejected_until = now + min(LONGEST_EJECTION_SECONDS, away)
+        duration = MIN_EJECTION_SECONDS * 2 ** min(self.ejections, 10)
+        self.ejected_until = now + min(MAX_EJECTION_SECONDS, duration)
         self.ejections += 1
         self.failures = 0
         self.failed_jobs.clear()
         self.begin_trial()
 
-    def decline(self, now: float) -> None:
+    def record_decline(self, now: float) -> None:
         """Take note of a start that was declined."""
         self.declines += 1
         if self.declines < 2:
             return
-        pause = FIRST_PAUSE_SECONDS * 2 ** min(self.declines - 2, 10)
-        self.paused_until = now + min(LONGEST_PAUSE_SECONDS, pause)
+        pause = MIN_PAUSE_SECONDS * 2 ** min(self.declines - 2, 10)
+        self.paused_until = now + min(MAX_PAUSE_SECONDS, pause)
 
 
-def failures_to_eject(others_failing: float) -> int:
+def failures_to_eject(peer_failure_rate: float) -> int:
     """Return how many failures in a row are no chance, given the others' rate."""
-    rate = min(OTHERS_FAILING, max(1e-3, others_failing))
-    by_chance = math.ceil(math.log(CHANCE_OF_RUN) / math.log(rate))
-    return max(FEWEST_FAILURES_TO_EJECT, by_chance)
+    rate = min(MAX_PEER_FAILURE_RATE, max(1e-3, peer_failure_rate))
+    by_chance = math.ceil(math.log(MAX_CHANCE_PROBABILITY) / math.log(rate))
+    return max(MIN_FAILURES_TO_EJECT, by_chance)
--- a/src/cactuswalk/decisions/estimation.py
+++ b/src/cactuswalk/decisions/estimation.py
@@ -38,13 +38,13 @@
 # Declarations count as telling long from short above this part of the variance
 # explained: at a quarter, a task declared four times the mean is longer than the
 # mean in some two of three cases.
-TELLING_PART = 0.25
+MIN_EXPLAINED_VARIANCE = 0.25
 
 
 # Of tasks that one queue runs, all of a kind: their run times, and what callers
 # declare, vary by some 40%, and a declaration tells half of a task's own part.
-KIND_VARIANCE = 0.16
-KIND_COVARIANCE = 0.08
+UNIFORM_VARIANCE = 0.16
+UNIFORM_COVARIANCE = 0.08
 
 
 class DurationEstimate(msgspec.Struct):
@@ -54,15 +54,15 @@
     """
 
     mean: float = PRIOR_SECONDS
-    run_centre: float = math.log(PRIOR_SECONDS)
-    declared_centre: float = math.log(PRIOR_SECONDS)
+    run_log_mean: float = math.log(PRIOR_SECONDS)
+    declared_log_mean: float = math.log(PRIOR_SECONDS)
     run_variance: float = PRIOR_VARIANCE
     declared_variance: float = PRIOR_VARIANCE
     covariance: float = PRIOR_COVARIANCE
     observed: int = 0
 
     @classmethod
-    def of_a_kind(cls, declared_ms: int) -> "DurationEstimate":
+    def for_uniform_tasks(cls, declared_ms: int) -> "DurationEstimate":
         """Return the estimate to begin with where all tasks are of one kind.
 
         The first declaration is the best that is known of them. A process that has
@@ -74,11 +74,11 @@
         seconds = declared_ms / 1000
         return cls(
             mean=seconds,
-            run_centre=math.log(seconds),
-            declared_centre=math.log(seconds),
-            run_variance=KIND_VARIANCE,
-            declared_variance=KIND_VARIANCE,
-            covariance=KIND_COVARIANCE,
+            run_log_mean=math.log(seconds),
+            declared_log_mean=math.log(seconds),
+            run_variance=UNIFORM_VARIANCE,
+            declared_variance=UNIFORM_VARIANCE,
+            covariance=UNIFORM_COVARIANCE,
         )
 
     def predict(self, declared_ms: int) -> float:
@@ -86,7 +86,7 @@
         if declared_ms <= 0:
             return self.mean
         slope = self.slope
-        distance = math.log(declared_ms / 1000) - self.declared_centre
+        distance = math.log(declared_ms / 1000) - self.declared_log_mean
         # The mean of exp(slope * distance) over log-normal declarations; without
         # it the predictions would be too long on average.
         spread = slope * slope * self.declared_variance / 2
@@ -100,12 +100,12 @@
         return min(1.0, max(0.0, self.covariance / self.declared_variance))
 
     @property
-    def declarations_help(self) -> bool:
+    def has_informative_declarations(self) -> bool:
         """Return whether declared times have lately told long from short."""
         variances = self.declared_variance * self.run_variance
         if variances < 1e-9 or self.covariance <= 0:
             return False
-        return self.covariance**2 / variances > TELLING_PART
+        return self.covariance**2 / variances > MIN_EXPLAINED_VARIANCE
 
     def observe(self, declared_ms: int, seconds: float) -> None:
         """Learn from a task that succeeded."""
@@ -113,23 +113,25 @@
         self.observed += 1
         gain = max(GAIN, 1 / (self.observed + PRIOR_WEIGHT))
         self.mean += gain * (seconds - self.mean)
-        off_run = math.log(seconds) - self.run_centre
-        self.run_centre += gain * off_run
-        self.run_variance += gain * (off_run**2 - self.run_variance)
+        run_deviation = math.log(seconds) - self.run_log_mean
+        self.run_log_mean += gain * run_deviation
+        self.run_variance += gain * (run_deviation**2 - self.run_variance)
         if declared_ms <= 0:
             return
-        off_declared = math.log(declared_ms / 1000) - self.declared_centre
-        self.declared_centre += gain * off_declared
-        self.declared_variance += gain * (off_declared**2 - self.declared_variance)
-        self.covariance += gain * (off_run * off_declared - self.covariance)
+        declared_deviation = math.log(declared_ms / 1000) - self.declared_log_mean
+        self.declared_log_mean += gain * declared_deviation
+        self.declared_variance += gain * (
+            declared_deviation**2 - self.declared_variance
+        )
+        self.covariance += gain * (run_deviation * declared_deviation - self.covariance)
 
 
 # A reservation follows use upwards four times as fast as downwards: memory that
 # is missing kills tasks, memory that lies idle only delays some.
 SIZE_GAIN_UP = 1 / 8
 SIZE_GAIN_DOWN = 1 / 32
-LEAST_SIZE_FACTOR = 0.25
-GREATEST_SIZE_FACTOR = 10.0
+MIN_SIZE_FACTOR = 0.25
+MAX_SIZE_FACTOR = 10.0
 
 
 class SizeEstimate(msgspec.Struct):
@@ -148,4 +150,4 @@
         ratio = used_mb / declared_mb
         gain = SIZE_GAIN_UP if ratio > self.factor else SIZE_GAIN_DOWN
         moved = self.factor + gain * (ratio - self.factor)
-        self.factor = min(GREATEST_SIZE_FACTOR, max(LEAST_SIZE_FACTOR, moved))
+        self.factor = min(MAX_SIZE_FACTOR, max(MIN_SIZE_FACTOR, moved))
--- a/src/cactuswalk/decisions/explaining.py
+++ b/src/cactuswalk/decisions/explaining.py
@@ -1,7 +1,7 @@
 """Say why a worker can or can't take a job, for operators."""
 
 from cactuswalk.decisions.cellstate import CellState
-from cactuswalk.decisions.fitting import misfit
+from cactuswalk.decisions.fitting import misfit_reason
 from cactuswalk.decisions.placement import Worker
 from cactuswalk.decisions.tasks import Explanation
 from cactuswalk.model import Job
@@ -14,11 +14,11 @@
 ) -> Explanation:
     """Say whether a worker could take the job's tasks, and why not now."""
     for spec in job.tasks:
-        reason = misfit(worker.announcement, job, spec)
+        reason = misfit_reason(worker.announcement, job, spec)
         if reason:
             return Explanation(worker.name, False, reason)
     state = cell.service(job.service)
-    reason = worker.why_not(state.durations.mean, now)
+    reason = worker.unavailable_reason(state.durations.mean, now)
     if reason:
         return Explanation(worker.name, True, f"it fits, but not now: {reason}")
     if worker.free == 0:
--- a/src/cactuswalk/decisions/fairness.py
+++ b/src/cactuswalk/decisions/fairness.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-__all__ = ["LEAST_WEIGHT", "Quota", "Share", "ShareTree"]
+__all__ = ["MIN_WEIGHT", "Quota", "Share", "ShareTree"]
 
 # Virtual times are compared in steps of this many slot seconds; within a step the
 # jobs' own order decides. Measured in docs/design/decisions/fair-share.md: smaller
@@ -31,11 +31,11 @@
 DRAIN_SECONDS = 1.0
 
 # A weight of zero would mean "never", which a limit of no running task says better.
-LEAST_WEIGHT = 0.01
+MIN_WEIGHT = 0.01
 
 # Callers come and go by the million; above this many shares, or twice what was
 # left last time, those that are idle are dropped.
-SHARES_TO_SWEEP = 4096
+MIN_SHARES_TO_SWEEP = 4096
 
 
 class Quota(msgspec.Struct, frozen=True):
@@ -81,17 +81,17 @@
         return int(self.virtual_time // self.step)
 
     @property
-    def capped(self) -> bool:
+    def is_at_limit(self) -> bool:
         """Return whether the team runs as much as it ever may."""
         limit = self.quota.maximum_running
         return limit is not None and self.running >= limit
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether nothing is queued and nothing runs."""
         return self.queued == 0 and self.running == 0
 
-    def drain(self, seconds: float, now: float) -> None:
+    def record_drain(self, seconds: float, now: float) -> None:
         """Count slot seconds that were started, of which older ones fade."""
         faded = math.exp(-(now - self.drained_at) / DRAIN_SECONDS)
         self.drained = self.drained * faded + seconds
@@ -141,7 +141,7 @@
         self.shares: dict[str, Share] = {}
         self.quotas: dict[str, Quota] = {}
         self.weight = 0.0
-        self.sweep_above = SHARES_TO_SWEEP
+        self.sweep_above = MIN_SHARES_TO_SWEEP
 
     def share(self, name: str) -> Share:
         """Return a share, a new one if the name is new."""
@@ -156,9 +156,9 @@
     def sweep(self) -> None:
         """Forget every idle share."""
         self.shares = {
-            name: share for name, share in self.shares.items() if not share.idle
+            name: share for name, share in self.shares.items() if not share.is_idle
         }
-        self.sweep_above = max(SHARES_TO_SWEEP, 2 * len(self.shares))
+        self.sweep_above = max(MIN_SHARES_TO_SWEEP, 2 * len(self.shares))
 
     def set_quota(self, name: str, quota: Quota) -> None:
         """Put a quota in force, for what is queued already as well."""
@@ -191,14 +191,14 @@
             share.queued_seconds = 0.0
             self.forget_if_idle(share)
 
-    def start(self, share: Share, seconds: float, now: float) -> None:
+    def record_start(self, share: Share, seconds: float, now: float) -> None:
         """Charge for a started task; the field moves on with who is served."""
         self.field = max(self.field, share.level * self.step)
         share.running += 1
         share.charge(seconds)
-        share.drain(seconds, now)
+        share.record_drain(seconds, now)
 
-    def end(self, share: Share, charged: float, used: float) -> None:
+    def record_end(self, share: Share, charged: float, used: float) -> None:
         """Count a task that has ended, and note what was charged wrongly."""
         share.running -= 1
         share.correction += used - charged
@@ -209,12 +209,12 @@
 
         Anyone who waits for each answer before the next request is such a one.
         """
-        if not share.idle or share.level * self.step > self.field:
+        if not share.is_idle or share.level * self.step > self.field:
             return
         if self.shares.get(share.name) is share:
             del self.shares[share.name]
 
-    def guaranteed(self, share: Share) -> float:
+    def guaranteed_part(self, share: Share) -> float:
         """Return the part of all slots that a share has when all are busy."""
         weight = share.quota.weight
         others = self.weight - (weight if share.queued else 0.0)
--- a/src/cactuswalk/decisions/fitting.py
+++ b/src/cactuswalk/decisions/fitting.py
@@ -24,18 +24,18 @@
     worker_labels,
 )
 
-__all__ = ["Departed", "judge_fit", "misfit"]
+__all__ = ["DepartedWorkers", "check_fit", "misfit_reason"]
 
 # A worker that left within this time may be on its way back: the brief's 1,100
 # restarts and replacements a day are done well within the hour.
 REMEMBER_SECONDS = 3600.0
-MOST_DEPARTED = 256
+MAX_DEPARTED = 256
 
 # A restarted worker announces itself about a second after its start.
 RETRY_MS = 1000
 
 
-class Departed(msgspec.Struct):
+class DepartedWorkers(msgspec.Struct):
     """Workers that have left lately, by name, with the time they left."""
 
     workers: dict[str, tuple[Announcement, float]] = msgspec.field(default_factory=dict)
@@ -44,16 +44,16 @@
         """Remember a worker that has left."""
         self.workers.pop(announcement.worker, None)
         self.workers[announcement.worker] = (announcement, now)
-        if len(self.workers) > MOST_DEPARTED:
+        if len(self.workers) > MAX_DEPARTED:
             del self.workers[next(iter(self.workers))]
 
-    def known(self, now: float) -> list[Announcement]:
+    def recent(self, now: float) -> list[Announcement]:
         """Return those that left not long ago."""
         oldest = now - REMEMBER_SECONDS
         return [entry for entry, left in self.workers.values() if left >= oldest]
 
 
-def misfit(announcement: Announcement, job: Job, spec: TaskSpec) -> str:
+def misfit_reason(announcement: Announcement, job: Job, spec: TaskSpec) -> str:
     """Return why a worker can never run a task, empty if it could when idle."""
     if announcement.service != job.service:
         return f"it serves {announcement.service}, not {job.service}"
@@ -77,7 +77,7 @@
     return TaskSpec(b"", 0, memory_mb, accelerators)
 
 
-def judge_fit(
+def check_fit(
     job: Job, present: list[Announcement], departed: list[Announcement]
 ) -> Refusal | None:
     """Return why a job can't be run by these workers, None if it can.
@@ -92,18 +92,18 @@
         # the owner must not stop over a job that it can't read.
         return Refusal(RefusalCode.NEVER_FITS, error.message)
     here = [entry for entry in present if entry.service == job.service]
-    gone = [entry for entry in departed if entry.service == job.service]
+    departed_here = [entry for entry in departed if entry.service == job.service]
     if not here:
         return Refusal(
             RefusalCode.NO_WORKER_NOW, f"no worker serves {job.service} now", RETRY_MS
         )
     ready = [entry for entry in here if entry.ready]
-    if any(not misfit(entry, job, largest(job.tasks)) for entry in ready):
+    if any(not misfit_reason(entry, job, largest(job.tasks)) for entry in ready):
         return None
     for spec in distinct(job.tasks):
-        if any(not misfit(entry, job, spec) for entry in ready):
+        if any(not misfit_reason(entry, job, spec) for entry in ready):
             continue
-        return refuse_misfit(job, spec, here, gone)
+        return misfit_refusal(job, spec, here, departed_here)
     return None
 
 
@@ -113,17 +113,20 @@
     return list(sizes.values())
 
 
-def refuse_misfit(
-    job: Job, spec: TaskSpec, here: list[Announcement], gone: list[Announcement]
+def misfit_refusal(
+    job: Job,
+    spec: TaskSpec,
+    here: list[Announcement],
+    departed_here: list[Announcement],
 ) -> Refusal:
     """Return the refusal of a job with a task that no ready worker can run."""
-    if any(not misfit(entry, job, spec) for entry in here + gone):
+    if any(not misfit_reason(entry, job, spec) for entry in here + departed_here):
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
             f"the workers of {job.service} that could run it are away",
             RETRY_MS,
         )
-    reason = misfit(here[0], job, spec)
+    reason = misfit_reason(here[0], job, spec)
     return Refusal(
         RefusalCode.NEVER_FITS,
         f"none of the {len(here)} workers of {job.service} can ever run it; "
--- a/src/cactuswalk/decisions/guard.py
+++ b/src/cactuswalk/decisions/guard.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-__all__ = ["GuardAction", "Usage", "judge_usage"]
+__all__ = ["GuardAction", "Usage", "choose_guard_actions"]
 
 # Parts of a worker's memory in use. Below the first nothing is done. Reports lag by
 # about a second, in which eight tasks can allocate several percent of 64 GB, so the
@@ -25,7 +25,7 @@
 TOLERANCE = 1.25
 
 # Beyond this part of the largest excess, a task is worth stopping in its place.
-FAR_PART = 0.5
+MIN_EXCESS_PART = 0.5
 
 
 class GuardAction(enum.StrEnum):
@@ -59,7 +59,7 @@
         return max(0.0, self.used_mb - TOLERANCE * declared)
 
 
-def judge_usage(
+def choose_guard_actions(
     usages: list[Usage], memory_mb: int, slots: int
 ) -> dict[str, GuardAction]:
     """Return what to do with which tasks; the others go on.
@@ -71,13 +71,13 @@
         return {}
     fair_mb = memory_mb / max(1, slots)
     pressure = sum(usage.used_mb for usage in usages) / memory_mb
-    outgrown = [usage for usage in usages if usage.excess_mb(fair_mb) > 0]
-    if pressure < THROTTLE_ABOVE or not outgrown:
+    oversized = [usage for usage in usages if usage.excess_mb(fair_mb) > 0]
+    if pressure < THROTTLE_ABOVE or not oversized:
         return {}
-    actions = {usage.name: GuardAction.THROTTLE for usage in outgrown}
+    actions = {usage.name: GuardAction.THROTTLE for usage in oversized}
     if pressure < CHECKPOINT_ABOVE:
         return actions
-    worst = worst_of(outgrown, fair_mb)
+    worst = choose_target(oversized, fair_mb)
     if worst.checkpoints:
         actions[worst.name] = GuardAction.CHECKPOINT
     elif pressure >= STOP_ABOVE:
@@ -85,15 +85,19 @@
     return actions
 
 
-def worst_of(outgrown: list[Usage], fair_mb: float) -> Usage:
+def choose_target(oversized: list[Usage], fair_mb: float) -> Usage:
     """Return the task to stop or save.
 
     Of those that are far beyond their declaration, one that can be saved goes
     before one that can be repeated, and that before others: stopping a small one
     because it can be repeated would not help the worker.
     """
-    most = max(usage.excess_mb(fair_mb) for usage in outgrown)
-    far = [usage for usage in outgrown if usage.excess_mb(fair_mb) >= FAR_PART * most]
+    most = max(usage.excess_mb(fair_mb) for usage in oversized)
+    far = [
+        usage
+        for usage in oversized
+        if usage.excess_mb(fair_mb) >= MIN_EXCESS_PART * most
+    ]
     return max(
         far,
         key=lambda usage: (
--- a/src/cactuswalk/decisions/lazyheap.py
+++ b/src/cactuswalk/decisions/lazyheap.py
@@ -10,7 +10,7 @@
 
 # Entries that are out of date are dropped when they come to the top. Below this
 # many, or twice the members, rebuilding would cost more than it saves.
-FEWEST_ENTRIES_TO_REBUILD = 64
+MIN_ENTRIES_TO_REBUILD = 64
 
 
 class LazyHeap(Generic[Member]):
@@ -39,7 +39,7 @@
         self.serial += 1
         heapq.heappush(self.entries, (key, self.serial, member))
         self.held[member] = self.held.get(member, 0) + 1
-        if len(self.entries) > max(FEWEST_ENTRIES_TO_REBUILD, 4 * len(self.held)):
+        if len(self.entries) > max(MIN_ENTRIES_TO_REBUILD, 4 * len(self.held)):
             self.rebuild()
 
     def top(self) -> tuple[tuple, Member] | None:
--- a/src/cactuswalk/decisions/leaving.py
+++ b/src/cactuswalk/decisions/leaving.py
@@ -6,25 +6,25 @@
 still sends it; one that waited without end could never be replaced.
 """
 
-__all__ = ["Leaving"]
+__all__ = ["EntryShutdown"]
 
 # A balancer asks once in one to two seconds; so long nothing is taken as its word.
-LEAST_SECONDS = 3.0
+MIN_DRAIN_SECONDS = 3.0
 # Without a new submission for this long the balancer has heeded what it was told.
 # At a request a second and entry, one in three such spans would be quiet by chance;
 # that is why it has to be told first.
 QUIET_SECONDS = 1.0
 # A balancer that sends on for this long does not look at readiness at all. Below
 # the half minute that supervisors commonly wait beyond the longest deadline.
-MOST_SECONDS = 20.0
+MAX_DRAIN_SECONDS = 20.0
 # Who has been told so often that the entry is ready, and asked in this span before
 # the stop, is a balancer and will ask again; one that only waited for the entry's
 # start has been told once.
-REGULAR_TIMES = 3
+MIN_READY_ANSWERS = 3
 ASKED_WITHIN_SECONDS = 10.0
 
 
-class Leaving:
+class EntryShutdown:
     """What an entry has seen of its balancer, and since when it is to stop."""
 
     __slots__ = ("began_at", "asked_at", "told_at", "taken_at", "times_ready")
@@ -40,7 +40,7 @@
         """Note that the entry is to stop."""
         self.began_at = now
 
-    def ask_ready(self, ready: bool, now: float) -> None:
+    def record_readiness_check(self, ready: bool, now: float) -> None:
         """Note that somebody has asked whether the entry is ready.
 
         :param ready: what the answer was.
@@ -50,20 +50,20 @@
         if self.began_at is not None and self.told_at < self.began_at:
             self.told_at = now
 
-    def take(self, now: float) -> None:
+    def record_submission(self, now: float) -> None:
         """Note that a caller has submitted something."""
         self.taken_at = now
 
-    def is_due(self, now: float) -> bool:
+    def can_exit(self, now: float) -> bool:
         """Tell whether nobody is expected to send anything any more."""
-        if self.began_at is None or now - self.began_at < LEAST_SECONDS:
+        if self.began_at is None or now - self.began_at < MIN_DRAIN_SECONDS:
             return False
-        if now - self.began_at >= MOST_SECONDS:
+        if now - self.began_at >= MAX_DRAIN_SECONDS:
             return True
-        if self.told_at < self.began_at and self._expects_question():
+        if self.told_at < self.began_at and self._expects_readiness_check():
             return False
         return now - max(self.taken_at, self.told_at) >= QUIET_SECONDS
 
-    def _expects_question(self) -> bool:
+    def _expects_readiness_check(self) -> bool:
         lately = self.began_at - self.asked_at <= ASKED_WITHIN_SECONDS
-        return lately and self.times_ready >= REGULAR_TIMES
+        return lately and self.times_ready >= MIN_READY_ANSWERS
--- a/src/cactuswalk/decisions/longtasks.py
+++ b/src/cactuswalk/decisions/longtasks.py
@@ -10,7 +10,7 @@
 force only while they do (see ``estimation``).
 """
 
-__all__ = ["is_long", "observe_short", "slots_for_long"]
+__all__ = ["is_long", "update_short_average", "slots_for_long"]
 
 # Long is what takes this many times the mean of its service: "a few last several
 # seconds" against a mean near 0.3 s.
@@ -26,7 +26,7 @@
 
 # Weight of a look at the running short tasks; ten looks a second make this a memory
 # of two seconds.
-LOOK_GAIN = 0.05
+SAMPLE_GAIN = 0.05
 
 
 def is_long(expected: float, mean: float) -> bool:
@@ -34,9 +34,9 @@
     return expected > TIMES_MEAN * mean
 
 
-def observe_short(average: float, running: int) -> float:
+def update_short_average(average: float, running: int) -> float:
     """Return the average of running short tasks after another look at them."""
-    return average + LOOK_GAIN * (running - average)
+    return average + SAMPLE_GAIN * (running - average)
 
 
 def slots_for_long(slots: int, short: float) -> int:
@@ -44,5 +44,5 @@
 
     :param short: slots that short tasks use on average.
     """
-    kept = max(slots * RESERVED_PART, HEADROOM * short)
-    return max(1, int(slots * LONG_PART), int(slots - kept))
+    reserved = max(slots * RESERVED_PART, HEADROOM * short)
+    return max(1, int(slots * LONG_PART), int(slots - reserved))
--- a/src/cactuswalk/decisions/overload.py
+++ b/src/cactuswalk/decisions/overload.py
@@ -30,16 +30,16 @@
         the whole queue is drained by all slots in the order of deadlines.
     """
 
-    lasting: bool = False
+    sustained: bool = False
     late_part: float = 0.0
 
-    def judged(self, late: bool) -> None:
+    def record_admission(self, late: bool) -> None:
         """Take note of a job that was admitted or refused in a peak."""
         self.late_part += GAIN * (late - self.late_part)
         if self.late_part > OVERLOAD_PART:
-            self.lasting = True
+            self.sustained = True
 
-    def emptied(self) -> None:
+    def record_empty_queue(self) -> None:
         """Take note that nothing is queued."""
-        self.lasting = False
+        self.sustained = False
         self.late_part = 0.0
--- a/src/cactuswalk/decisions/placement.py
+++ b/src/cactuswalk/decisions/placement.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from cactuswalk.decisions.affinity import preferred
+from cactuswalk.decisions.affinity import choose_preferred
 from cactuswalk.decisions.ejection import Health
 from cactuswalk.model import Announcement, Job, matches, parse, worker_labels
 
@@ -25,8 +25,8 @@
     "Rack",
     "RunningTask",
     "Worker",
-    "choose",
-    "fits",
+    "choose_worker",
+    "shortage_reason",
 ]
 
 
@@ -62,7 +62,7 @@
     """What the scheduler knows of a worker.
 
     :param usable: the owner may start tasks there now.
-    :param able: slots that count as capacity: 0 while it is away.
+    :param usable_slots: slots that count as capacity: 0 while it is away.
     :param free: slots that can take a task now.
     :param inherited: tasks that an earlier owner started there; of them nothing
         is known but that each holds a slot.
@@ -79,7 +79,7 @@
     groups: list["Group"] = msgspec.field(default_factory=list)
     memory_mb: float = 0.0
     accelerators: int = 0
-    able: int = 0
+    usable_slots: int = 0
     free: int = 0
 
     @property
@@ -103,7 +103,7 @@
         """Return the slots that are taken."""
         return len(self.running) + len(self.inherited)
 
-    def why_not(self, mean: float, now: float) -> str:
+    def unavailable_reason(self, mean: float, now: float) -> str:
         """Return why it takes nothing at all now, an empty text if it does."""
         if not self.announcement.ready:
             return "its upstream is not ready"
@@ -113,9 +113,9 @@
             return "it is drained"
         oldest = next(iter(self.running.values()), None)
         started = oldest.started_at if oldest else now
-        if self.health.hangs(len(self.running), started, mean, now):
+        if self.health.is_hung(len(self.running), started, mean, now):
             return "nothing has ended there for long"
-        return self.health.away(now)
+        return self.health.unavailable_reason(now)
 
 
 class Group(msgspec.Struct, eq=False):
@@ -137,7 +137,7 @@
     reason: str
 
 
-def fits(worker: Worker, memory_mb: float, accelerators: int) -> str:
+def shortage_reason(worker: Worker, memory_mb: float, accelerators: int) -> str:
     """Return why a task is too large for what is free, empty if it is not.
 
     A task that is larger than the whole worker by its corrected memory, but not
@@ -166,7 +166,7 @@
         """Add a worker, or take a changed announcement of a known one."""
         known = self.workers.get(announcement.worker)
         if known is not None:
-            self.take_out(known)
+            self.detach(known)
         place = (announcement.service, announcement.rack)
         rack = self.racks.setdefault(place, Rack())
         if known is None:
@@ -180,37 +180,37 @@
         rack.running += len(known.running)
         self.workers[announcement.worker] = known
         for (service, selector), group in self.groups.items():
-            if self.belongs(known, service, selector):
-                self.join(known, group)
+            if self.is_member(known, service, selector):
+                self.add_to_group(known, group)
         return known
 
     def remove(self, name: str) -> Worker | None:
         """Forget a worker and return it."""
         worker = self.workers.pop(name, None)
         if worker is not None:
-            self.take_out(worker)
+            self.detach(worker)
         return worker
 
-    def take_out(self, worker: Worker) -> None:
+    def detach(self, worker: Worker) -> None:
         """Take a worker out of its groups and its rack."""
         worker.rack.slots -= worker.slots
         worker.rack.running -= len(worker.running)
         for group in worker.groups:
             del group.members[worker.name]
             group.open.pop(worker.name, None)
-            group.slots -= worker.able
+            group.slots -= worker.usable_slots
         worker.groups = []
-        worker.able = worker.free = 0
+        worker.usable_slots = worker.free = 0
 
-    def join(self, worker: Worker, group: Group) -> None:
+    def add_to_group(self, worker: Worker, group: Group) -> None:
         """Count a worker in a group."""
         group.members[worker.name] = worker
-        group.slots += worker.able
+        group.slots += worker.usable_slots
         worker.groups.append(group)
         if worker.free > 0:
             group.open[worker.name] = worker
 
-    def belongs(self, worker: Worker, service: str, selector: str) -> bool:
+    def is_member(self, worker: Worker, service: str, selector: str) -> bool:
         """Return whether a worker is in a group."""
         if worker.announcement.service != service:
             return False
@@ -222,8 +222,8 @@
         if known is None:
             known = self.groups[service, selector] = Group()
             for worker in self.workers.values():
-                if self.belongs(worker, service, selector):
-                    self.join(worker, known)
+                if self.is_member(worker, service, selector):
+                    self.add_to_group(worker, known)
         return known
 
     def drop_group(self, service: str, selector: str) -> None:
@@ -236,12 +236,12 @@
 
     def refresh(self, worker: Worker, mean: float, now: float) -> None:
         """Reckon again what a worker can take, and tell its groups."""
-        able = 0
-        if not worker.why_not(mean, now):
-            able = worker.health.slots(worker.slots)
-        free = max(0, able - worker.held)
-        change = able - worker.able
-        worker.able, worker.free = able, free
+        usable_slots = 0
+        if not worker.unavailable_reason(mean, now):
+            usable_slots = worker.health.usable_slots(worker.slots)
+        free = max(0, usable_slots - worker.held)
+        change = usable_slots - worker.usable_slots
+        worker.usable_slots, worker.free = usable_slots, free
         for group in worker.groups:
             group.slots += change
             if free > 0:
@@ -269,42 +269,43 @@
         return task
 
 
-def choose(
+def choose_worker(
     group: Group,
     job: Job,
     memory_mb: float,
     accelerators: int,
-    kept: Worker | None = None,
+    reserved: Worker | None = None,
 ) -> Choice | None:
     """Return the best worker of a group with room for a task, None if none has.
 
-    :param kept: a worker that is kept free for another task.
+    :param reserved: a worker that is kept free for another task.
     """
     candidates = [
         worker
         for worker in group.open.values()
-        if worker is not kept and not fits(worker, memory_mb, accelerators)
+        if worker is not reserved
+        and not shortage_reason(worker, memory_mb, accelerators)
     ]
     if not candidates:
         return None
     harmless = job.request and job.idempotent
     if harmless:
         for worker in candidates:
-            if worker.health.on_trial and not worker.running:
+            if worker.health.is_on_trial and not worker.running:
                 return Choice(worker, "trial of a returning worker")
-    sound = [worker for worker in candidates if is_sound(worker)]
-    if not sound:
+    healthy = [worker for worker in candidates if is_healthy(worker)]
+    if not healthy:
         return Choice(min(candidates, key=load_order), "no sound worker is free")
     if job.key:
-        worker = preferred(job.key, sound)
+        worker = choose_preferred(job.key, healthy)
         if worker is not None:
             return Choice(worker, "its key is served there")
-    return Choice(min(sound, key=load_order), "least loaded of the free workers")
+    return Choice(min(healthy, key=load_order), "least loaded of the free workers")
 
 
-def is_sound(worker: Worker) -> bool:
+def is_healthy(worker: Worker) -> bool:
     """Return whether nothing speaks against a worker."""
-    return not worker.health.dragging and worker.health.allowance is None
+    return not worker.health.is_slow and worker.health.trial_slots is None
 
 
 def load_order(worker: Worker) -> tuple[float, float]:
--- a/src/cactuswalk/decisions/queueing.py
+++ b/src/cactuswalk/decisions/queueing.py
@@ -55,7 +55,7 @@
         ties, so that a declined task comes back to its old place.
     :param expected: run time of each task, in seconds.
     :param lanes: of its tasks, by index.
-    :param reckoned: wait for its last slot as seen on admission, in seconds.
+    :param predicted_wait: wait for its last slot as seen on admission, in seconds.
     :param dispatched: a task of it has been given to a worker.
     :param cancelled: what becomes of its tasks says nothing about workers.
     :param in_peak: it was admitted by the whole backlog, see ``overload``.
@@ -71,7 +71,7 @@
     expected: list[float]
     lanes: list["Lane"]
     pending: dict["Lane", collections.deque[int]]
-    reckoned: float = 0.0
+    predicted_wait: float = 0.0
     queued: int = 0
     running: int = 0
     dispatched: bool = False
@@ -153,7 +153,7 @@
             return None
         return (URGENT, queued.order[1]) if queued.urgent else queued.order
 
-    def hurry(self, queued: QueuedJob) -> None:
+    def move_to_front(self, queued: QueuedJob) -> None:
         """Move the tasks of a job that is marked urgent before all others."""
         team = self.by_name[queued.team.name]
         caller = team.by_name[queued.caller.name]
@@ -168,7 +168,7 @@
         has ended, so that it is not looked at again for each free slot.
         """
         while (found := self.teams.top()) is not None:
-            if not found[1].share.capped:
+            if not found[1].share.is_at_limit:
                 return found
             self.parked.add(found[1].share.name)
             self.teams.drop_first()
@@ -186,24 +186,24 @@
         """Return the first task of the lane's first team."""
         _, caller = team.callers.top()
         _, queued = caller.jobs.top()
-        return queued, self.peek_of(queued)
+        return queued, self.peek_task(queued)
 
-    def peek_of(self, queued: QueuedJob) -> int:
+    def peek_task(self, queued: QueuedJob) -> int:
         """Return the first task that a job has here."""
         return queued.pending[self][0]
 
     def take(self, queued: QueuedJob, index: int) -> None:
         """Take the task that ``peek`` has returned out."""
         queued.pending[self].popleft()
-        self.count_out(queued, [index])
+        self.record_removal(queued, [index])
 
     def clear(self, queued: QueuedJob) -> list[int]:
         """Take all tasks of a job out and return their indexes."""
         waiting = list(queued.pending.pop(self, ()))
-        self.count_out(queued, waiting)
+        self.record_removal(queued, waiting)
         return waiting
 
-    def count_out(self, queued: QueuedJob, indexes: list[int]) -> None:
+    def record_removal(self, queued: QueuedJob, indexes: list[int]) -> None:
         """Count tasks that have left the lane."""
         self.queued -= len(indexes)
         left = self.queued_seconds - sum(queued.expected[index] for index in indexes)
--- a/src/cactuswalk/decisions/reservation.py
+++ b/src/cactuswalk/decisions/reservation.py
@@ -33,7 +33,7 @@
     def holds(self) -> bool:
         """Return whether the task still waits and the worker can still take it."""
         waiting = self.queued.pending.get(self.lane, ())
-        return self.index in waiting and self.worker.able > 0
+        return self.index in waiting and self.worker.usable_slots > 0
 
 
 def is_due(queued: QueuedJob, mean: float, now: float) -> bool:
@@ -46,7 +46,7 @@
     large_enough = [
         worker
         for worker in group.members.values()
-        if worker.able > 0
+        if worker.usable_slots > 0
         and accelerators <= worker.announcement.capacity.accelerators
         and memory_mb <= worker.announcement.capacity.memory_mb
     ]
--- a/src/cactuswalk/decisions/scheduler.py
+++ b/src/cactuswalk/decisions/scheduler.py
@@ -6,24 +6,24 @@
 
 import random
 
-from cactuswalk.decisions.admission import judge
+from cactuswalk.decisions.admission import check_admission
 from cactuswalk.decisions.binding import (
     assign_service,
     drop_empty_lanes,
-    shed_hopeless,
+    shed_late_jobs,
 )
-from cactuswalk.decisions.budget import may_be_repeated
+from cactuswalk.decisions.budget import can_be_repeated
 from cactuswalk.decisions.cellstate import CellState
 from cactuswalk.decisions.damping import FlapDamping
-from cactuswalk.decisions.ejection import GREATEST_EJECTED_PART
+from cactuswalk.decisions.ejection import MAX_EJECTED_PART
 from cactuswalk.decisions.explaining import explain_worker
-from cactuswalk.decisions.fairness import LEAST_WEIGHT, Quota
-from cactuswalk.decisions.fitting import judge_fit
-from cactuswalk.decisions.guard import GuardAction, Usage, judge_usage
+from cactuswalk.decisions.fairness import MIN_WEIGHT, Quota
+from cactuswalk.decisions.fitting import check_fit
+from cactuswalk.decisions.guard import GuardAction, Usage, choose_guard_actions
 from cactuswalk.decisions.joborder import JobOrder, by_patience
 from cactuswalk.decisions.placement import Worker
 from cactuswalk.decisions.queueing import Lane
-from cactuswalk.decisions.secondattempts import hedges
+from cactuswalk.decisions.secondattempts import start_hedges
 from cactuswalk.decisions.tasks import Assignment, Explanation, QueuedTask, Shed
 from cactuswalk.model import Announcement, Job, Refusal, RefusalCode
 
@@ -64,29 +64,29 @@
         """
         is_new = announcement.worker not in self.cell.pool.workers
         worker = self.cell.pool.put(announcement, usable)
-        if is_new and self.returns(announcement, now):
+        if is_new and self.has_departed_recently(announcement, now):
             worker.health.begin_trial()
-            self._hold_back(worker, now)
-        self.cell.refresh(worker, now)
+            self._suppress_flapping(worker, now)
+        self.cell.refresh_capacity(worker, now)
 
-    def returns(self, announcement: Announcement, now: float) -> bool:
+    def has_departed_recently(self, announcement: Announcement, now: float) -> bool:
         """Return whether a worker has left this cell not long ago."""
         name = announcement.worker
-        return any(gone.worker == name for gone in self.cell.departed.known(now))
+        return any(entry.worker == name for entry in self.cell.departed.recent(now))
 
-    def _hold_back(self, worker: Worker, now: float) -> None:
+    def _suppress_flapping(self, worker: Worker, now: float) -> None:
         """Give a worker that dies over and over nothing for a while.
 
         Unless that left too few: a cell whose hosts all restart together is no
         worse for the one than for the others.
         """
-        until = self.damping.held_until(worker.name, now)
-        if self.cell.others(worker, now).ejected_part <= GREATEST_EJECTED_PART:
+        until = self.damping.suppressed_until(worker.name, now)
+        if self.cell.peer_health(worker, now).ejected_part <= MAX_EJECTED_PART:
             worker.health.ejected_until = until
 
     def worker_died(self, worker: str, now: float) -> None:
         """Take note that a life of a worker has ended without a planned stop."""
-        self.damping.died(worker, now)
+        self.damping.record_death(worker, now)
 
     def remove_worker(self, worker: str, now: float) -> None:
         """Forget a worker; what runs there is the owner's to settle."""
@@ -103,7 +103,7 @@
         known = self.cell.pool.workers.get(worker)
         if known is not None:
             known.drained = drained
-            self.cell.refresh(known, now)
+            self.cell.refresh_capacity(known, now)
 
     def set_quota(
         self,
@@ -114,7 +114,7 @@
     ) -> None:
         """Put a team's weight and limit in a service in force."""
         state = self.cell.service(service)
-        quota = Quota(max(weight, LEAST_WEIGHT), maximum_running)
+        quota = Quota(max(weight, MIN_WEIGHT), maximum_running)
         state.teams.set_quota(team, quota)
         for lane in state.lanes.values():
             lane.unpark(team)
@@ -131,7 +131,7 @@
         state = self.cell.service(known.announcement.service)
         state.sizes.observe(declared, used)
         capacity = known.announcement.capacity
-        return judge_usage(usages, capacity.memory_mb, capacity.slots)
+        return choose_guard_actions(usages, capacity.memory_mb, capacity.slots)
 
     # Jobs.
 
@@ -140,24 +140,24 @@
         if job.submission in self.cell.jobs:
             return None
         present = [worker.announcement for worker in self.cell.pool.workers.values()]
-        refusal = judge_fit(job, present, self.cell.departed.known(now))
+        refusal = check_fit(job, present, self.cell.departed.recent(now))
         if refusal is not None:
             return refusal
-        queued = self.cell.open(job, now, deadline)
+        queued = self.cell.new_queued_job(job, now, deadline)
         state = self.cell.service(job.service)
         group = self.cell.pool.group(job.service, job.selector)
         free = sum(worker.free for worker in group.open.values())
-        special = self.cell.special_wait(queued)
-        backlog = state.backlog(queued, group.slots, free, special, now)
-        refusal = judge(backlog, deadline - now, self.generator.random())
-        if not backlog.lasting:
+        constrained_wait = self.cell.constrained_wait(queued)
+        backlog = state.backlog(queued, group.slots, free, constrained_wait, now)
+        refusal = check_admission(backlog, deadline - now, self.generator.random())
+        if not backlog.sustained:
             late = refusal is not None and refusal.code is RefusalCode.OVERLOADED
-            state.overload.judged(late)
+            state.overload.record_admission(late)
         if refusal is not None:
             return refusal
-        queued.in_peak = not backlog.lasting
-        if backlog.lasting:
-            queued.reckoned = backlog.wait / backlog.margin
+        queued.in_peak = not backlog.sustained
+        if backlog.sustained:
+            queued.predicted_wait = backlog.wait / backlog.margin
         self.cell.jobs[job.submission] = queued
         by_lane: dict[Lane, list[int]] = {}
         for index, lane in enumerate(queued.lanes):
@@ -176,7 +176,7 @@
         submission = task.job.submission
         queued = self.cell.jobs.get(submission)
         if queued is None:
-            queued = self.cell.open(task.job, task.queued_at, task.deadline)
+            queued = self.cell.new_queued_job(task.job, task.queued_at, task.deadline)
             self.cell.jobs[submission] = queued
         state = self.cell.service(task.job.service)
         lane = queued.lanes[task.index]
@@ -188,9 +188,9 @@
         known = self.cell.pool.workers.get(worker)
         if known is not None and (submission, task.index) in known.inherited:
             known.inherited.discard((submission, task.index))
-            self.cell.refresh(known, now)
+            self.cell.refresh_capacity(known, now)
         if known is not None and (submission, task.index) in known.running:
-            known.health.decline(now)
+            known.health.record_decline(now)
             self.cell.release(known, submission, task.index, now)
 
     def inherit(self, submission: str, index: int, worker: str, now: float) -> None:
@@ -198,7 +198,7 @@
         known = self.cell.pool.workers.get(worker)
         if known is not None:
             known.inherited.add((submission, index))
-            self.cell.refresh(known, now)
+            self.cell.refresh_capacity(known, now)
 
     def finished(
         self,
@@ -219,7 +219,7 @@
             return
         if (submission, index) in known.inherited:
             known.inherited.discard((submission, index))
-            self.cell.refresh(known, now)
+            self.cell.refresh_capacity(known, now)
             return
         if (submission, index) not in known.running:
             return
@@ -227,9 +227,9 @@
         service = task.owner.job.service
         state = self.cell.service(service)
         if succeeded:
-            self.cell.learn(state, known, task, elapsed_ms / 1000, now)
+            self.cell.learn_from_success(state, known, task, elapsed_ms / 1000, now)
         elif not excused:
-            self.cell.blame(known, task, now)
+            self.cell.attribute_failure(known, task, now)
         self.cell.release(known, submission, index, now)
 
     def cancel(self, submission: str, now: float) -> list[QueuedTask]:
@@ -250,7 +250,7 @@
         decided: list[Assignment | Shed] = []
         for state in self.cell.services.values():
             if state.queued:
-                shed_hopeless(self.cell, state, now, decided)
+                shed_late_jobs(self.cell, state, now, decided)
                 assign_service(self.cell, state, now, decided)
         return decided
 
@@ -258,16 +258,16 @@
         """Look at all workers for what has changed by time alone."""
         self.next_review = now + REVIEW_SECONDS
         for worker in self.cell.pool.workers.values():
-            self.cell.refresh(worker, now)
+            self.cell.refresh_capacity(worker, now)
         for state in self.cell.services.values():
-            state.look()
+            state.sample_running()
             drop_empty_lanes(self.cell, state)
 
     # Second attempts.
 
     def may_retry(self, task: QueuedTask, now: float) -> bool:
         """Return whether a failed request may be tried again, and pay for it."""
-        if not may_be_repeated(task.job) or now >= task.deadline:
+        if not can_be_repeated(task.job) or now >= task.deadline:
             return False
         return self.cell.service(task.job.service).retries.spend()
 
@@ -280,7 +280,7 @@
 
         :param services: where this is wanted; None for all.
         """
-        return hedges(self.cell, now, services)
+        return start_hedges(self.cell, now, services)
 
     # Reports.
 
--- a/src/cactuswalk/decisions/secondattempts.py
+++ b/src/cactuswalk/decisions/secondattempts.py
@@ -7,10 +7,10 @@
 from cactuswalk.decisions.service import Service
 from cactuswalk.decisions.tasks import Assignment
 
-__all__ = ["hedges"]
+__all__ = ["start_hedges"]
 
 
-def hedges(
+def start_hedges(
     cell: CellState, now: float, services: frozenset[str] | None = None
 ) -> list[Assignment]:
     """Return second attempts at stragglers, onto idle slots, in the budget.
@@ -26,39 +26,41 @@
             continue
         state = cell.service(service)
         elapsed = now - task.started_at
-        if elapsed <= state.high.seconds:
+        if elapsed <= state.high_percentile.seconds:
             break
-        if not is_straggler(elapsed, task.charged, state.high.seconds):
+        if not is_straggler(elapsed, task.charged, state.high_percentile.seconds):
             continue
         if state.queued:
             continue
-        other = hedge_worker(cell, worker, task)
-        if other is None or not state.hedges.spend():
+        target = choose_hedge_worker(cell, worker, task)
+        if target is None or not state.hedges.spend():
             continue
         del cell.hedgeable[submission]
-        decided.append(start_hedge(cell, state, other, task, now))
+        decided.append(start_hedge(cell, state, target, task, now))
     return decided
 
 
-def hedge_worker(cell: CellState, worker: Worker, task: RunningTask) -> Worker | None:
+def choose_hedge_worker(
+    cell: CellState, worker: Worker, task: RunningTask
+) -> Worker | None:
     """Return the least loaded other worker that has room."""
     job = task.owner.job
     group = cell.pool.group(job.service, job.selector)
-    others = [
-        other
-        for other in group.open.values()
-        if other is not worker
-        and placement.is_sound(other)
-        and not placement.fits(other, task.memory_mb, task.accelerators)
+    candidates = [
+        target
+        for target in group.open.values()
+        if target is not worker
+        and placement.is_healthy(target)
+        and not placement.shortage_reason(target, task.memory_mb, task.accelerators)
     ]
-    return min(others, key=placement.load_order, default=None)
+    return min(candidates, key=placement.load_order, default=None)
 
 
 def start_hedge(
     cell: CellState, state: Service, worker: Worker, task: RunningTask, now: float
 ) -> Assignment:
     """Start the second attempt at a task."""
-    state.begin(task.owner, task.lane, task.charged, now)
+    state.record_start(task.owner, task.lane, task.charged, now)
     second = RunningTask(
         task.index,
         now,
@@ -68,6 +70,6 @@
         task.owner,
         task.lane,
     )
-    cell.place(worker, second, now)
+    cell.start_task(worker, second, now)
     reason = f"hedge after {now - task.started_at:.2f} s"
     return Assignment(task.owner.task(task.index), worker.name, reason)
--- a/src/cactuswalk/decisions/service.py
+++ b/src/cactuswalk/decisions/service.py
@@ -12,7 +12,7 @@
     ShareTree,
 )
 from cactuswalk.decisions.hedging import HighPercentile
-from cactuswalk.decisions.longtasks import is_long, observe_short
+from cactuswalk.decisions.longtasks import is_long, update_short_average
 from cactuswalk.decisions.overload import Overload
 from cactuswalk.decisions.queueing import Lane, LaneKey, QueuedJob, lane_key
 from cactuswalk.decisions.reservation import Reservation
@@ -44,7 +44,7 @@
     deadlines: DeadlineQueue
     durations: DurationEstimate
     sizes: SizeEstimate
-    high: HighPercentile
+    high_percentile: HighPercentile
     retries: Budget
     hedges: Budget
     lanes: dict[LaneKey, Lane]
@@ -86,7 +86,9 @@
     def lane(self, queued: QueuedJob, spec: TaskSpec, expected: float) -> Lane:
         """Return the lane of a task, a new one if it is the first of its kind."""
         durations = self.durations
-        long = durations.declarations_help and is_long(expected, durations.mean)
+        long = durations.has_informative_declarations and is_long(
+            expected, durations.mean
+        )
         key = lane_key(queued.job, spec, long)
         known = self.lanes.get(key)
         if known is None:
@@ -112,7 +114,7 @@
         self.queued_seconds += seconds
         lane.add(queued, indexes, front)
 
-    def count_out(self, queued: QueuedJob, lane: Lane, indexes: list[int]) -> None:
+    def record_removal(self, queued: QueuedJob, lane: Lane, indexes: list[int]) -> None:
         """Count tasks that have left their lane: started, shed or cancelled."""
         seconds = sum(queued.expected[index] for index in indexes)
         queued.queued -= len(indexes)
@@ -121,64 +123,73 @@
         left = self.queued_seconds - seconds
         self.queued_seconds = max(0.0, left) if self.queued else 0.0
         if not self.queued:
-            self.overload.emptied()
+            self.overload.record_empty_queue()
         self.callers[queued.team.name].dequeue(queued.caller, len(indexes), seconds)
         self.teams.dequeue(queued.team, len(indexes), seconds)
         lane.forget(queued.team, queued.caller)
 
-    def look(self) -> None:
+    def sample_running(self) -> None:
         """Take note of how many short tasks are running."""
         short = self.running - self.long_running
-        self.short_average = observe_short(self.short_average, short)
+        self.short_average = update_short_average(self.short_average, short)
 
-    def begin(self, queued: QueuedJob, lane: Lane, charged: float, now: float) -> None:
+    def record_start(
+        self, queued: QueuedJob, lane: Lane, charged: float, now: float
+    ) -> None:
         """Count a task that starts."""
-        self.teams.start(queued.team, charged, now)
-        self.callers[queued.team.name].start(queued.caller, charged, now)
+        self.teams.record_start(queued.team, charged, now)
+        self.callers[queued.team.name].record_start(queued.caller, charged, now)
         queued.running += 1
         queued.dispatched = True
         if queued.queued == 1:
-            self.margin.started(now - queued.queued_at, queued.reckoned)
+            self.margin.record_start(now - queued.queued_at, queued.predicted_wait)
         lane.running += 1
         self.running += 1
         self.long_running += lane.key.long
 
-    def end(self, queued: QueuedJob, lane: Lane, charged: float, used: float) -> None:
+    def record_end(
+        self, queued: QueuedJob, lane: Lane, charged: float, used: float
+    ) -> None:
         """Count a task that has ended."""
         queued.running -= 1
         lane.running -= 1
         self.running -= 1
         self.long_running -= lane.key.long
-        self.callers[queued.team.name].end(queued.caller, charged, used)
-        self.teams.end(queued.team, charged, used)
+        self.callers[queued.team.name].record_end(queued.caller, charged, used)
+        self.teams.record_end(queued.team, charged, used)
         if queued.team.quota.maximum_running is not None:
             for other in self.lanes.values():
                 other.unpark(queued.team.name)
 
     def backlog(
-        self, queued: QueuedJob, slots: int, free: int, special: float, now: float
+        self,
+        queued: QueuedJob,
+        slots: int,
+        free: int,
+        constrained_wait: float,
+        now: float,
     ) -> Backlog:
         """Return what a new job finds, see ``Backlog``.
 
         :param slots: that can take its tasks.
         :param free: of these, the ones that are idle.
-        :param special: reckoned wait for workers with what it needs, in seconds.
+        :param constrained_wait: seconds until a worker can meet its needs.
         """
         team, caller = queued.team, queued.caller
         idle = free - self.queued >= len(queued.expected)
         return Backlog(
             slots=0 if idle else slots,
-            everyone=self.queued_seconds,
-            team=team.queued_seconds,
-            caller=caller.queued_seconds,
+            total_seconds=self.queued_seconds,
+            team_seconds=team.queued_seconds,
+            caller_seconds=caller.queued_seconds,
             team_rate=team.drain_rate(now),
-            guaranteed_team=self.teams.guaranteed(team),
-            guaranteed_caller=self.callers[team.name].guaranteed(caller),
+            guaranteed_team=self.teams.guaranteed_part(team),
+            guaranteed_caller=self.callers[team.name].guaranteed_part(caller),
             maximum_running=team.quota.maximum_running,
-            own=sum(queued.expected),
-            longest=max(queued.expected),
-            mean=self.durations.mean,
-            special=special,
+            job_seconds=sum(queued.expected),
+            longest_seconds=max(queued.expected),
+            mean_seconds=self.durations.mean,
+            constrained_wait=constrained_wait,
             margin=self.margin.factor,
-            lasting=self.overload.lasting,
+            sustained=self.overload.sustained,
         )
--- a/src/cactuswalk/decisions/sharing.py
+++ b/src/cactuswalk/decisions/sharing.py
@@ -17,7 +17,7 @@
     "cede",
     "cession_begins_ms",
     "retire",
-    "share_to_give",
+    "slots_to_cede",
     "take",
     "without_superseded",
 ]
@@ -27,7 +27,7 @@
 TOLERANCE = 0.25
 
 
-def share_to_give(mine: int, my_workers: int, theirs: int, their_workers: int) -> int:
+def slots_to_cede(mine: int, my_workers: int, theirs: int, their_workers: int) -> int:
     """Return how many slots to cede to a cell that asks.
 
     :param mine: open slots here, ``theirs`` at the cell that asks.
--- a/src/cactuswalk/decisions/shedding.py
+++ b/src/cactuswalk/decisions/shedding.py
@@ -16,14 +16,14 @@
 
 import heapq
 
-from cactuswalk.decisions.admission import HOPEFUL_PART
+from cactuswalk.decisions.admission import MIN_RUN_TIME_PART
 from cactuswalk.decisions.queueing import QueuedJob
 
 __all__ = ["DeadlineQueue", "latest_start"]
 
 # Entries of jobs that have left are dropped when they are this many and the
 # majority, lest a cancelled wave keeps its bodies until its deadlines.
-FEWEST_ENTRIES_TO_REBUILD = 64
+MIN_ENTRIES_TO_REBUILD = 64
 
 
 # A job is hurried when this part of its time is left beyond the latest start. Of the
@@ -31,13 +31,13 @@
 # slots, so a fifth of a deadline of some seconds is enough in an overload, in which
 # admission keeps the queue short. In a peak the queue may be as long as the deadlines;
 # 0.2 to 0.6 were tried, see docs/design/decisions/admission.md.
-HURRY_PART = 0.2
-PEAK_HURRY_PART = 0.4
+URGENT_PART = 0.2
+PEAK_URGENT_PART = 0.4
 
 
 def latest_start(queued: QueuedJob) -> float:
     """Return when a job's remaining tasks have to start at the latest."""
-    return queued.deadline - HOPEFUL_PART * max(queued.expected)
+    return queued.deadline - MIN_RUN_TIME_PART * max(queued.expected)
 
 
 class DeadlineQueue:
@@ -55,26 +55,26 @@
 
         :param live: jobs that have tasks queued.
         """
-        if len(self.late) > max(FEWEST_ENTRIES_TO_REBUILD, 2 * live):
-            self.early = drop_gone(self.early)
-            self.late = drop_gone(self.late)
+        if len(self.late) > max(MIN_ENTRIES_TO_REBUILD, 2 * live):
+            self.early = drop_dequeued(self.early)
+            self.late = drop_dequeued(self.late)
         self.serial += 1
         latest = latest_start(queued)
-        part = PEAK_HURRY_PART if queued.in_peak else HURRY_PART
-        hurry = latest - part * (queued.deadline - queued.queued_at)
+        part = PEAK_URGENT_PART if queued.in_peak else URGENT_PART
+        urgent_at = latest - part * (queued.deadline - queued.queued_at)
         heapq.heappush(self.late, (latest, self.serial, queued))
-        heapq.heappush(self.early, (hurry, self.serial, queued))
+        heapq.heappush(self.early, (urgent_at, self.serial, queued))
 
-    def take_hurried(self, now: float) -> list[QueuedJob]:
+    def pop_urgent(self, now: float) -> list[QueuedJob]:
         """Return the jobs that have to be hurried from now on."""
-        return take(self.early, now)
+        return pop_due(self.early, now)
 
-    def take_hopeless(self, now: float) -> list[QueuedJob]:
+    def pop_unreachable(self, now: float) -> list[QueuedJob]:
         """Return the jobs whose queued tasks can't be answered in time."""
-        return take(self.late, now)
+        return pop_due(self.late, now)
 
 
-def take(entries: list[tuple[float, int, QueuedJob]], now: float) -> list[QueuedJob]:
+def pop_due(entries: list[tuple[float, int, QueuedJob]], now: float) -> list[QueuedJob]:
     """Take out the jobs whose time has come and that have tasks queued.
 
     A job that came back from a worker is in the heap once for each return, and is
@@ -88,7 +88,7 @@
     return list(due)
 
 
-def drop_gone(
+def drop_dequeued(
     entries: list[tuple[float, int, QueuedJob]],
 ) -> list[tuple[float, int, QueuedJob]]:
     """Return the entries of jobs that have tasks queued, as a heap."""
--- a/src/cactuswalk/dispatch/entryjobs.py
+++ b/src/cactuswalk/dispatch/entryjobs.py
@@ -66,7 +66,7 @@
     estimate = state.estimates.get(queue.name)
     if estimate is None:
         declared_ms = max((step.estimate_ms for step in event.request.steps), default=0)
-        estimate = DurationEstimate.of_a_kind(declared_ms)
+        estimate = DurationEstimate.for_uniform_tasks(declared_ms)
         state.estimates[queue.name] = estimate
     seconds = [estimate.predict(step.estimate_ms) for step in event.request.steps]
     expected = chain_seconds(event.request, seconds)
--- a/src/cactuswalk/platform/gate.py
+++ b/src/cactuswalk/platform/gate.py
@@ -9,7 +9,7 @@
 import collections.abc
 import random
 
-from cactuswalk.decisions.backoff import Backoff, adapted_timeout
+from cactuswalk.decisions.backoff import Backoff, adapt_timeout
 from cactuswalk.decisions.callbudget import CallBudget
 from cactuswalk.platform.errors import UnavailableError
 
@@ -77,20 +77,20 @@
     def succeeded(self, passage: Passage) -> None:
         """Take note that a call was answered."""
         now = self.clock()
-        self.timeout = adapted_timeout(
+        self.timeout = adapt_timeout(
             self.shortest_timeout, passage.timeout, now - passage.started
         )
         if self.backoff.failures:
             self.budget.shrink(now)
-        self.backoff.succeeded()
+        self.backoff.record_success()
         self._end_probe(passage)
 
     def failed(self, passage: Passage, timed_out: bool) -> None:
         """Take note that a call was not answered."""
         now = self.clock()
         if timed_out:
-            self.timeout = adapted_timeout(self.shortest_timeout, passage.timeout, None)
-        self.backoff.failed(passage.started, now, self.generator)
+            self.timeout = adapt_timeout(self.shortest_timeout, passage.timeout, None)
+        self.backoff.record_failure(passage.started, now, self.generator)
         self._end_probe(passage)
 
     def abandoned(self, passage: Passage) -> None:
--- a/src/cactuswalk/platform/watch.py
+++ b/src/cactuswalk/platform/watch.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cactuswalk.decisions.backoff import LONGEST_WAIT_SECONDS, Backoff
+from cactuswalk.decisions.backoff import MAX_WAIT_SECONDS, Backoff
 from cactuswalk.decisions.callbudget import READ_COST
 from cactuswalk.platform import protocol
 from cactuswalk.platform.errors import (
@@ -128,9 +128,9 @@
         in good health to the gate, and would be called without a pause.
         """
         now = self.store.clock()
-        if now - self.opened_at > LONGEST_WAIT_SECONDS:
-            self.backoff.succeeded()
-        self.backoff.failed(now, now, self.store.generator)
+        if now - self.opened_at > MAX_WAIT_SECONDS:
+            self.backoff.record_success()
+        self.backoff.record_failure(now, now, self.store.generator)
         await asyncio.sleep(self.backoff.remaining(now))
 
     def _take(self, message: protocol.WatchResult) -> Changes | None:
--- a/src/cactuswalk/runtime/entry.py
+++ b/src/cactuswalk/runtime/entry.py
@@ -7,7 +7,7 @@
 import time
 
 from cactuswalk.decisions.callbudget import ENTRY_BURST, ENTRY_RATE
-from cactuswalk.decisions.leaving import Leaving
+from cactuswalk.decisions.leaving import EntryShutdown
 from cactuswalk.http.callers import EntryCallables, make_callers_application
 from cactuswalk.http.operators import make_operators_application
 from cactuswalk.http.operators_store import ConfigurationKeys, follow
@@ -38,7 +38,7 @@
         self.waiting: dict[str, asyncio.Future] = {}
         self.questions: dict[str, asyncio.Future] = {}
         self.serial = itertools.count(1)
-        self.leaving = Leaving()
+        self.leaving = EntryShutdown()
         self.state = self._make_state()
         self.application = self.host.make_application(
             lambda event, now: handle_entry(self.state, event, now),
@@ -118,7 +118,7 @@
 
     async def submit(self, event: CallerSubmitted) -> Reply:
         """Hand a submission to the reducer and wait for its one reply."""
-        self.leaving.take(time.monotonic())
+        self.leaving.record_submission(time.monotonic())
         future = asyncio.get_running_loop().create_future()
         self.waiting[event.waiter] = future
         self.application.feed(event)
@@ -154,12 +154,12 @@
     def _may_leave(self, now: float) -> bool:
         if self.leaving.began_at is None:
             self.leaving.begin(now)
-        return self.leaving.is_due(now)
+        return self.leaving.can_exit(now)
 
     def _not_ready(self) -> list[str]:
         now = time.monotonic()
         reasons = self._reasons_against(now)
-        self.leaving.ask_ready(not reasons, now)
+        self.leaving.record_readiness_check(not reasons, now)
         return reasons
 
     def _reasons_against(self, now: float) -> list[str]:
--- a/src/cactuswalk/runtime/following.py
+++ b/src/cactuswalk/runtime/following.py
@@ -67,14 +67,14 @@
         if not self.backoff.failures:
             self.say("the store is lost", what=self.what, reason=str(error))
         now = self.clock()
-        self.backoff.failed(started, now, self.generator)
+        self.backoff.record_failure(started, now, self.generator)
         await asyncio.sleep(min(self.backoff.remaining(now), LONGEST_WAIT_SECONDS))
 
     def succeeded(self) -> None:
         """Take note that a call was answered."""
         if self.backoff.failures:
             self.say("the store is back", what=self.what, tries=self.backoff.failures)
-        self.backoff.succeeded()
+        self.backoff.record_success()
 
 
 async def follow(
--- a/src/cactuswalk/state/guarding.py
+++ b/src/cactuswalk/state/guarding.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from cactuswalk.decisions.guard import GuardAction, Usage, judge_usage
+from cactuswalk.decisions.guard import GuardAction, Usage, choose_guard_actions
 from cactuswalk.messages import Start
 from cactuswalk.model import Capacity
 from cactuswalk.state.effects import (
@@ -92,7 +92,7 @@
     if stale := len(usages) - len(places):
         effects.append(Count("agent.usage.stale", stale))
     judged = [_as_judged(name, *place) for name, place in places.items()]
-    actions = judge_usage(judged, capacity.memory_mb, capacity.slots)
+    actions = choose_guard_actions(judged, capacity.memory_mb, capacity.slots)
     for name, (usage, task) in places.items():
         action = actions.get(name, GuardAction.NONE)
         effects += _act(guard, action, usage, task, worker, now)
--- a/src/cactuswalk/state/sharing.py
+++ b/src/cactuswalk/state/sharing.py
@@ -235,7 +235,7 @@
         if one.to == ask.cell and one.service == ask.service
         if not _is_taken(state, one)
     )
-    count = sharing.share_to_give(mine, workers, theirs, ask.workers)
+    count = sharing.slots_to_cede(mine, workers, theirs, ask.workers)
     if count <= 0:
         return
     ahead = state.timing.clock_margin + state.timing.entry_margin + CESSION_SLACK
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -136,7 +136,7 @@
     SourceChange(
         "estimates that begin with the first declaration",
         f"{DISPATCH}/entryjobs.py",
-        "DurationEstimate.of_a_kind(declared_ms)",
+        "DurationEstimate.for_uniform_tasks(declared_ms)",
         "DurationEstimate()",
     ),
     SourceChange(
--- a/tools/measure_platform.py
+++ b/tools/measure_platform.py
@@ -103,15 +103,15 @@
 def outage(clients: int, seconds: float, full_jitter: bool) -> None:
     """Calls that the service sees while it is down, and when it returns."""
     if full_jitter:
-        backoff.wait_seconds = full_jitter_wait
+        backoff.draw_wait_seconds = full_jitter_wait
     loop = VirtualLoop()
     loop.run_until_complete(play_outage(loop, clients, seconds))
 
 
 def full_jitter_wait(failures: int, generator: random.Random) -> float:
     """Return a wait from the whole bound, as the design's other candidate."""
-    bound = backoff.FIRST_WAIT_SECONDS * 2 ** min(failures, 16)
-    return generator.uniform(0, min(bound, backoff.LONGEST_WAIT_SECONDS))
+    bound = backoff.INITIAL_WAIT_SECONDS * 2 ** min(failures, 16)
+    return generator.uniform(0, min(bound, backoff.MAX_WAIT_SECONDS))
 
 
 async def play_outage(loop: VirtualLoop, clients: int, seconds: float) -> None:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -186,8 +186,8 @@
     Mutant(
         "a worker that dies over and over is not held back",
         "src/cactuswalk/decisions/damping.py",
-        "HOLD_ABOVE = 2.0",
-        "HOLD_ABOVE = 99.0",
+        "SUPPRESS_ABOVE = 2.0",
+        "SUPPRESS_ABOVE = 99.0",
         FLAPPING,
     ),
     Mutant(
@@ -200,7 +200,7 @@
     Mutant(
         "all workers of a cell may be held back at once",
         "src/cactuswalk/decisions/scheduler.py",
-        "if self.cell.others(worker, now).ejected_part <= GREATEST_EJECTED_PART:\n",
+        "if self.cell.peer_health(worker, now).ejected_part <= MAX_EJECTED_PART:\n",
         "if True:\n",
         FLAPPING,
     ),
