--- a/features/dispatch_unanswered.feature
+++ b/features/dispatch_unanswered.feature
@@ -10,7 +10,7 @@
     And the fleet runs on for 3 seconds
     Then e0 completes the job within 0.252 seconds
     And every task was started once
-    And each task's agent has said "a start without an answer runs on"
+    And each task's agent has logged "an unanswered start is running"
 
   Scenario: The start is lost, and carried out four seconds later
     A look that waits at the worker would tell 0.15 s later that nothing runs there;
@@ -21,7 +21,7 @@
     Then e0 completes the job within 0.252 seconds
     And no task has run twice at once
     And every task was started once
-    And each task's agent has said "forbids a start without an answer"
+    And each task's agent has logged "cancels an unanswered start"
 
   Scenario: Six of a hundred calls have no answer, and are carried out later
     Nearly half of all lookups of eight tasks meet one. Only one in three was on time
--- a/features/steps/dispatch_lines_steps.py
+++ b/features/steps/dispatch_lines_steps.py
@@ -15,8 +15,8 @@
 
 ENDED = {
     "a run has ended",
-    "a run of an earlier life has ended",
-    "stops a run of an earlier life",
+    "a run of an earlier incarnation has ended",
+    "stops a run of an earlier incarnation",
     "a task runs again",
 }
 ANSWERED = {"a job is answered", "refuses a job"}
@@ -137,7 +137,7 @@
         met = {
             fields["worker"]
             for _, sentence, fields in observed.said
-            if sentence == "meets a worker"
+            if sentence == "found a worker"
         }
         assert observed.lives <= met, observed.lives - met
 
--- a/features/steps/dispatch_recovery_steps.py
+++ b/features/steps/dispatch_recovery_steps.py
@@ -90,7 +90,7 @@
     lines = [
         effect.sentence for _, name, effect in context.fleet.lines if name == agent
     ]
-    assert "its worker drags" in lines, lines
+    assert "the worker is slow" in lines, lines
 
 
 @then("{one:w} and {other:w} could end, if they were told to stop")
--- a/features/steps/dispatch_unanswered_steps.py
+++ b/features/steps/dispatch_unanswered_steps.py
@@ -56,14 +56,14 @@
     step_usual(context, seconds)
 
 
-@then('each task\'s agent has said "{sentence}"')
-def step_said(context, sentence):
-    said = {
+@then('each task\'s agent has logged "{sentence}"')
+def step_logged(context, sentence):
+    logged = {
         effect.fields["index"]
         for _, _, effect in context.fleet.lines
         if effect.sentence == sentence
     }
-    assert said == set(range(context.tasks)), said
+    assert logged == set(range(context.tasks)), logged
 
 
 @when(
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -29,8 +29,8 @@
 from cactuswalk.dispatch.bounds import CALL_TIMEOUT_SECONDS
 from cactuswalk.dispatch.effects import (
     Answer,
-    AskEntries,
     PollWorker,
+    ReadEntries,
     Say,
     SendMessage,
     StartTask,
@@ -426,7 +426,7 @@
             self.answers[effect.waiter] = (self.now, effect)
         elif isinstance(effect, (StartTask, StopTask, PollWorker)):
             self.call(name, state, effect)
-        elif isinstance(effect, AskEntries):
+        elif isinstance(effect, ReadEntries):
             self.at(
                 0.005,
                 lambda: self.feed_same(
--- a/src/cactuswalk/dispatch/agent.py
+++ b/src/cactuswalk/dispatch/agent.py
@@ -1,8 +1,8 @@
-"""The agent's reducer: the one gate through which a worker is given tasks.
+"""The agent's reducer: all tasks of a worker are started through it.
 
-It takes starts from any entry, gives the worker what fits its room, and runs each
-task only while the entry that sent it is heard (``bounds``). It alone knows the
-worker's room; entries know it from its reports, some of them late.
+It accepts starts from any entry, passes those that fit to the worker, and runs each
+task only while its entry's lease is valid (``bounds``). Only the agent knows the
+worker's free capacity exactly; entries know it from its reports, which may be late.
 """
 
 from cactuswalk.dispatch.agentcalls import (
@@ -57,17 +57,17 @@
 
 __all__ = ["reduce"]
 
-# Where nothing changes an entry hears from this agent so often: enough to count as
-# heard, should one report be lost (``bounds.HEARD_SECONDS``).
+# Interval of reports to an entry while nothing changes: short enough that the agent
+# counts as heard although one report is lost (``bounds.HEARD_SECONDS``).
 IDLE_REPORT_SECONDS = 0.2
 
-# A worker that didn't say anything for this long is taken for gone: its
-# heartbeats come each 1.5 s.
+# A worker that sends nothing for this long is considered gone; its heartbeats come
+# every 1.5 s.
 SILENT_WORKER_SECONDS = 5.0
 
 
 def reduce(state: AgentState, event: AgentEvent, now: float) -> list[Effect]:
-    """Take an event, and return what is to be done."""
+    """Apply an event to the state, and return the resulting effects."""
     HANDLERS[type(event)](state, event, now)
     poll_if_due(state, now)
     check_if_requested(state, now)
@@ -104,10 +104,10 @@
 
 
 def _is_lapsed(state: AgentState, now: float) -> bool:
-    """Return whether no call can have kept a run alive until now.
+    """Return whether the worker's lease has expired for certain.
 
-    A worker that answers looks keeps renewing, and lists what it runs; so
-    only one that doesn't answer loses its runs by the passing of time.
+    A worker that answers polls has its lease renewed, and lists its runs. So runs
+    are assumed to have ended with the lease only if the worker doesn't answer.
     """
     return not state.reachable and now - state.renewed_at >= worker_lapse_seconds()
 
--- a/src/cactuswalk/dispatch/agentcalls.py
+++ b/src/cactuswalk/dispatch/agentcalls.py
@@ -1,4 +1,4 @@
-"""Starts and stops at the worker, and what a call without an answer means."""
+"""Start and stop calls to the worker, and the handling of their answers."""
 
 from cactuswalk.dispatch.agentevents import (
     StartAnswered,
@@ -31,12 +31,12 @@
 ]
 
 # Added to a run's number, or to the token, when the worker has seen a higher one
-# from an earlier life of this agent; far above what one life uses.
+# from an earlier incarnation of this agent; far above what one incarnation uses.
 RUN_NUMBER_STEP = 1_000
 TOKEN_STEP = 60_000
 
-# How many times a start that the worker refuses as superseded, fenced or late is
-# tried before it is declined.
+# Attempts at a start that the worker refuses as superseded, fenced or late, before
+# the agent declines it.
 MAX_START_TRIES = 4
 
 RETRYABLE_VERDICTS = {
@@ -47,7 +47,7 @@
 
 
 def request_start(state: AgentState, held: HeldTask, now: float) -> None:
-    """Have the worker start a task under its present run number."""
+    """Have the worker start a task under its current run number."""
     held.call_pending = True
     held.tries += 1
     held.since = now
@@ -67,7 +67,7 @@
 
 
 def handle_start_answer(state: AgentState, event: StartAnswered, now: float) -> None:
-    """Take the worker's word on a start, or that there was none."""
+    """Handle the worker's verdict on a start, or a missing answer."""
     held = state.held.get(event.handle)
     if held is None or not state.is_current(event.worker):
         return
@@ -103,7 +103,7 @@
         request_start(state, held, now)
         return
     state.say(
-        "the worker refuses a start", job=held.start.key.job, verdict=verdict.value
+        "the worker refused a start", job=held.start.key.job, verdict=verdict.value
     )
     state.end(held, TaskEnd.DECLINED, 0, verdict.value, now)
     if verdict is StartVerdict.UNHEALTHY:
@@ -111,20 +111,20 @@
 
 
 def raise_token(state: AgentState) -> None:
-    """Take a higher token than the worker has seen."""
-    # Only an earlier life on this host can have had a higher one: a host's
-    # clock that was set back shows in this way.
+    """Raise the fencing token above the one that the worker has seen."""
+    # Tokens come from the time of day, so only an earlier incarnation on this host,
+    # before its clock was set back, can have had a higher one.
     state.token += TOKEN_STEP
-    state.say("raises its token: the worker has seen a higher one", new=state.token)
+    state.say("raised the token: the worker has seen a higher one", new=state.token)
 
 
 def _mark_unconfirmed(state: AgentState, held: HeldTask, now: float) -> None:
-    """Settle a start without an answer: see that it runs, or forbid it.
+    """Resolve a start without an answer: confirm that it runs, or cancel it.
 
-    Its answer alone may have been lost: where a look shows that it runs, it runs on.
-    Where none does, the call may yet be carried out, seconds later. The worker
-    refuses a run that was stopped before it came, so a confirmed stop settles it;
-    without one the lease in the call does.
+    Perhaps only the answer was lost: if a poll lists the run, it goes on. Otherwise
+    the call may still be carried out seconds later. The worker refuses a run that was
+    stopped before its start arrived, so a confirmed stop resolves it; without one,
+    the expiry of the lease in the call does.
     """
     state.observe("start_unanswered")
     held.expires_at = now + worker_lapse_seconds()
@@ -137,7 +137,7 @@
 
 
 def stop_run(state: AgentState, held: HeldTask, reason: str, now: float) -> None:
-    """Have a start stopped, at once or when its call is answered."""
+    """Have a run stopped, at once or when the pending call on it is answered."""
     if held.state is HeldState.STOPPING:
         return
     held.state = HeldState.STOPPING
@@ -147,7 +147,7 @@
 
 
 def request_stop(state: AgentState, held: HeldTask, now: float) -> None:
-    """Have the worker stop a run, or refuse it when it comes."""
+    """Have the worker stop a run, or refuse its start if that arrives later."""
     if state.worker is None:
         return
     held.call_pending = True
@@ -164,7 +164,7 @@
 
 
 def handle_stop_answer(state: AgentState, event: StopAnswered, now: float) -> None:
-    """Take the worker's word on a stop; a look will show the end."""
+    """Handle the worker's answer to a stop; a poll will list the run's end."""
     held = state.held.get(event.handle)
     if held is None or not state.is_current(event.worker):
         return
@@ -173,7 +173,7 @@
         if not held.expires_at:
             held.expires_at = now + worker_lapse_seconds()
         return
-    # From here a look that is sent shows it ended, or shows nothing of it.
+    # Polls sent from now on list the run as ended, or don't list it at all.
     held.expires_at = held.expires_at or now + worker_lapse_seconds()
     held.called_at = now
     held.stop_confirmed = True
@@ -183,13 +183,13 @@
 
 
 def drop_worker(state: AgentState, reason: str, now: float) -> None:
-    """Give up a worker that has ended for certain."""
+    """Log that the worker has certainly ended, and forget it."""
     state.say("the worker is gone", worker=state.worker.identifier, reason=reason)
     forget_worker(state, reason, now)
 
 
 def forget_worker(state: AgentState, reason: str, now: float) -> None:
-    """Begin to wait for another life of the worker."""
+    """Forget the worker, and wait for its next incarnation."""
     mark_all_lost(state, reason, now)
     state.worker = None
     state.reachable = False
@@ -198,6 +198,6 @@
 
 
 def mark_all_lost(state: AgentState, reason: str, now: float) -> None:
-    """End all that is held: it has ended with its worker."""
+    """End all tasks as lost, since their worker has ended."""
     for held in list(state.held.values()):
         state.end(held, TaskEnd.LOST, 0, reason, now)
--- a/src/cactuswalk/dispatch/agententries.py
+++ b/src/cactuswalk/dispatch/agententries.py
@@ -1,4 +1,4 @@
-"""What passes between an agent and the entries."""
+"""Messages between an agent and the entries."""
 
 from cactuswalk.dispatch.agentcalls import request_start, stop_run
 from cactuswalk.dispatch.agentevents import Received
@@ -16,12 +16,13 @@
     "resend_ends",
 ]
 
-# An end that was not noted is told again; a pulse with the note comes each 0.1 s.
+# An unacknowledged end is sent again after this time; acknowledgements come with the
+# entry's pulses, every 0.1 s.
 END_RESEND_SECONDS = 0.25
 
 
 def handle_message(state: AgentState, event: Received, now: float) -> None:
-    """Take a message of an entry."""
+    """Handle a message from an entry."""
     message = event.message
     if isinstance(message, Pulse):
         _handle_pulse(state, event.sender, message, now)
@@ -46,22 +47,25 @@
 
 
 def _refresh_peer(
-    state: AgentState, address: str, life: str, now: float
+    state: AgentState, address: str, incarnation: str, now: float
 ) -> EntryPeer | None:
-    """Return an entry, or None if a past life of it speaks.
+    """Return the sender's peer, or None if a past incarnation of it sent the message.
 
-    A new life of it has no tasks here.
+    The first message of a new incarnation stops the tasks of the one before.
     """
     peer = state.entries.setdefault(address, EntryPeer(address))
-    if life in peer.past_incarnations:
+    if incarnation in peer.past_incarnations:
         return None
-    if peer.incarnation != life:
+    if peer.incarnation != incarnation:
         if peer.incarnation:
-            state.say("an entry has started anew", entry=address)
+            state.say("an entry has restarted", entry=address)
             peer.past_incarnations.add(peer.incarnation)
         _stop_entry_runs(state, address, "its entry has started anew", now)
         peer = EntryPeer(
-            address, life, past_incarnations=peer.past_incarnations, home=peer.home
+            address,
+            incarnation,
+            past_incarnations=peer.past_incarnations,
+            home=peer.home,
         )
         state.entries[address] = peer
         peer.dirty = True
@@ -98,7 +102,7 @@
 
 
 def _decline_reason(state: AgentState, start: Start, now: float) -> str:
-    """Return why a start is declined, or an empty text."""
+    """Return why a start is declined, or an empty string if it is accepted."""
     if start.agent_life != state.incarnation:
         return "meant for an earlier life of this agent"
     if _milliseconds(now) - start.stamp > ENTRY_LEASE_SECONDS * 1000:
@@ -141,14 +145,14 @@
         return
     if request.sequence in peer.pending_ends:
         return
-    # It never arrived. Later ones have a higher sequence, so it never will.
+    # The start has not arrived. Raising the sequence has it ignored if it comes later.
     peer.last_sequence = max(peer.last_sequence, request.sequence)
     ended = Ended(peer.incarnation, request.sequence, TaskEnd.DECLINED, 0, 0, "stopped")
     state.send_end(peer, ended, now)
 
 
 def expire_entries(state: AgentState, now: float) -> None:
-    """Stop what runs for entries whose lease has passed."""
+    """Stop the runs of entries whose lease has expired."""
     silent = _milliseconds(now) - ENTRY_LEASE_SECONDS * 1000
     for held in list(state.held.values()):
         peer = state.entries.get(held.entry)
@@ -160,7 +164,7 @@
 
 
 def resend_ends(state: AgentState, now: float) -> None:
-    """Tell of ends again that an entry has not noted."""
+    """Send ends again that an entry has not acknowledged in time."""
     for peer in state.entries.values():
         for sequence, told_at in peer.end_sent_at.items():
             if now - told_at >= END_RESEND_SECONDS:
--- a/src/cactuswalk/dispatch/agentevents.py
+++ b/src/cactuswalk/dispatch/agentevents.py
@@ -1,4 +1,4 @@
-"""What happens to an agent, as data."""
+"""Events that the agent's reducer handles."""
 
 import enum
 
@@ -28,13 +28,13 @@
 
 
 class StartVerdict(enum.Enum):
-    """What a worker said to a start.
+    """A worker's answer to a start.
 
-    SUPERSEDED: a run of the task with this number or a higher one ended there.
-    FENCED: it has seen a higher token. LATE: the lease had passed.
-    NO_ROOM, UNHEALTHY, INVALID: it has done nothing.
-    GONE: another life of the worker answers, or nobody listens at its address.
-    UNKNOWN: no answer; the start may yet be carried out.
+    SUPERSEDED: a run of the task with this number or a higher one has ended there.
+    FENCED: the worker has seen a higher token. LATE: the lease had expired.
+    NO_ROOM, UNHEALTHY, INVALID: refused; nothing was started.
+    GONE: another incarnation of the worker answers, or the connection was refused.
+    UNKNOWN: no answer; the start may still be carried out.
     """
 
     STARTED = "started"
@@ -58,10 +58,10 @@
 
 
 class RunningRow(msgspec.Struct):
-    """A run that is under way.
+    """A run that the worker lists as running.
 
-    :param key: None for a task whose name is not of this product's making.
-    :param percent: of its work that is done.
+    :param key: None for a task whose name this project didn't generate.
+    :param percent: part of its work that is done.
     """
 
     key: TaskKey | None
@@ -71,7 +71,7 @@
 
 
 class EndedRow(msgspec.Struct):
-    """A run that has ended; ``number`` grows within a life of the worker."""
+    """A run that has ended; ``number`` increases within a worker's incarnation."""
 
     number: int
     key: TaskKey | None
@@ -86,7 +86,7 @@
 
 
 class Departed(msgspec.Struct):
-    """The worker says that it has gone."""
+    """The worker has announced that it leaves."""
 
     identifier: str
 
@@ -99,7 +99,7 @@
 
 
 class StartAnswered(msgspec.Struct):
-    """What became of ``StartTask``."""
+    """Result of ``StartTask``."""
 
     worker: str
     handle: int
@@ -107,7 +107,7 @@
 
 
 class StopAnswered(msgspec.Struct):
-    """What became of ``StopTask``; ``done`` if the worker confirmed it."""
+    """Result of ``StopTask``; ``done`` if the worker confirmed it."""
 
     worker: str
     handle: int
@@ -115,10 +115,11 @@
 
 
 class PollAnswered(msgspec.Struct):
-    """The worker answered a look that was sent at ``sent_at``.
+    """The worker answered a poll that was sent at ``sent_at``.
 
-    :param noted: the ends that the look allowed the worker to forget.
-    :param is_check: it was made beside one that waits.
+    :param noted: highest number of the ends that the poll acknowledged, which the
+        worker may forget.
+    :param is_check: it was sent next to a waiting poll, and didn't wait.
     """
 
     worker: str
@@ -130,11 +131,11 @@
 
 
 class PollFailed(msgspec.Struct):
-    """A look had no answer.
+    """A poll failed.
 
     :param fenced: the worker has seen a higher token than this agent's.
-    :param gone: another life answers, or nobody listens at the address.
-    :param is_check: it was made beside one that waits.
+    :param gone: another incarnation answers, or the connection was refused.
+    :param is_check: it was sent next to a waiting poll, and didn't wait.
     """
 
     worker: str
@@ -144,13 +145,13 @@
 
 
 class EntriesRead(msgspec.Struct):
-    """The entries as the platform has them; None without an answer."""
+    """The entries that the platform's store lists; None if it didn't answer."""
 
     members: list[Member] | None
 
 
 class StopRequested(msgspec.Struct):
-    """This process is to end."""
+    """This process was asked to stop."""
 
 
 class Tick(msgspec.Struct):
--- a/src/cactuswalk/dispatch/agentheld.py
+++ b/src/cactuswalk/dispatch/agentheld.py
@@ -1,4 +1,4 @@
-"""What an agent keeps of the starts that it was given."""
+"""State that an agent keeps for each accepted start and for each entry."""
 
 import enum
 
@@ -12,10 +12,10 @@
 
 
 class HeldState(enum.Enum):
-    """Where a start stands.
+    """State of an accepted start.
 
-    DOUBTFUL: the worker didn't answer; it may run, or begin to.
-    STOPPING: it is to be stopped; it may still run.
+    UNCONFIRMED: the worker didn't answer the start; the task may run now or later.
+    STOPPING: a stop was decided; the task may still run.
     """
 
     STARTING = "starting"
@@ -25,15 +25,23 @@
 
 
 class HeldTask(msgspec.Struct):
-    """A start whose room is taken at the worker.
+    """An accepted start, which occupies capacity of the worker until it has ended.
 
     :param handle: the agent's own number for it.
-    :param gone_at: when it has ended for certain, if nothing is heard: the last
-        lease that the worker could have for it has passed. 0 until there is doubt.
-    :param call_under_way: a call of the worker on this start has no answer yet.
+    :param entry: address of the entry that sent it.
+    :param run: run number under which the worker knows it.
+    :param since: when the start was last sent or, once it runs, when that was learnt.
+    :param expires_at: when the last lease that the worker can have for it expires, so
+        that it has ended for certain; 0 while its state is not in doubt.
+    :param call_pending: a call to the worker on this start has no answer yet.
     :param stop_confirmed: the worker has confirmed its stop.
-    :param speed_from: since when its speed is being measured, and at what percent;
-        ``speed`` is the last one, in percent a second, 0 before there is one.
+    :param called_at: when it was accepted, or when a later call on it was sent or
+        resolved; polls sent before then say nothing about that call.
+    :param percent_at: when ``percent`` changed last.
+    :param speed_sample: time and percent at which the current speed measurement began;
+        ``speed`` is the last result in percent per second, 0 before the first.
+    :param tries: number of start calls so far.
+    :param reason: why it is being stopped.
     """
 
     handle: int
@@ -54,7 +62,7 @@
     reason: str = ""
 
     def log_fields(self) -> dict[str, object]:
-        """Return the fields that name its run in a log line."""
+        """Return the fields that identify its run in a log line."""
         key = self.start.key
         return {"job": key.job, "step": key.step, "index": key.index, "run": self.run}
 
@@ -62,15 +70,16 @@
 class EntryPeer(msgspec.Struct):
     """An entry, as an agent knows it.
 
-    :param echoed: latest of the agent's own stamps, in milliseconds, that this
-        life of the entry has returned.
-    :param ends: by sequence, what it has not noted yet; with the time of the
-        last telling.
+    :param echoed_stamp: latest of the agent's own stamps, in milliseconds, that this
+        incarnation of the entry has returned.
+    :param last_sequence: highest sequence of its starts that has arrived.
+    :param pending_ends: ends that it has not acknowledged, by sequence;
+        ``end_sent_at`` has the time when each was sent last.
     :param dirty: something has changed since the last report; ``urgent``:
         something that it waits for.
-    :param home: this agent works with it; others are reported to only while they
-        speak to the agent.
-    :param members: the entries that it told of last, and the version of that.
+    :param home: it is a home entry of this agent; other entries get reports only
+        while they send messages to the agent.
+    :param members: the entries that it listed last; ``members_version`` of that list.
     """
 
     address: str
@@ -90,5 +99,5 @@
     members_version: int = 0
 
     def is_heard(self, now: float) -> bool:
-        """Return whether it has been heard lately, and is likely to hear."""
+        """Return whether it was heard recently, and so probably receives messages."""
         return now - self.heard_at < UNHEARD_SECONDS
--- a/src/cactuswalk/dispatch/agentleaving.py
+++ b/src/cactuswalk/dispatch/agentleaving.py
@@ -1,4 +1,4 @@
-"""An agent whose worker leaves, or which is told to stop itself."""
+"""Planned stop of the agent, and runs that can't finish before the worker leaves."""
 
 import math
 
@@ -15,9 +15,9 @@
 
 
 def handle_stop_request(state: AgentState, _: StopRequested, now: float) -> None:
-    """Begin to leave: the worker stays, and the agent's next life will have it.
+    """Begin a planned stop; the worker stays, and the agent's next incarnation uses it.
 
-    Until the last of what runs is expected to end, tasks that end sooner are taken.
+    Until the last current run is expected to end, tasks that end sooner are accepted.
     """
     if state.stopping:
         return
@@ -28,7 +28,7 @@
     )
     state.closes_at = min(state.stop_by, now + last)
     state.say(
-        "is to stop",
+        "a planned stop begins",
         held=len(state.held),
         takes_for=round(state.closes_at - now, 3),
     )
@@ -36,7 +36,7 @@
 
 
 def _left_seconds(state: AgentState, held: HeldTask, now: float) -> float:
-    """Return how long a start is expected to run yet."""
+    """Return the expected remaining run time of a start."""
     ran = now - held.since
     if held.state is HeldState.RUNNING and ran >= MIN_PROGRESS_SECONDS:
         return progress(held, now).remaining_ms / 1000
@@ -44,14 +44,14 @@
 
 
 def close_if_idle(state: AgentState, now: float) -> None:
-    """Take nothing more once all has ended: the process can go."""
+    """Accept nothing more during a planned stop once all runs have ended."""
     if state.stopping and not state.held and now < state.closes_at:
         state.closes_at = now
         state.mark_entries_dirty()
 
 
 def stop_unfinishable_runs(state: AgentState, now: float) -> None:
-    """Stop the runs that would be lost with their worker or this agent."""
+    """Stop the runs that can't finish before the worker or this agent goes."""
     lost_at = state.lost_at()
     if lost_at == math.inf:
         return
--- a/src/cactuswalk/dispatch/agentpolls.py
+++ b/src/cactuswalk/dispatch/agentpolls.py
@@ -1,9 +1,10 @@
-"""When the agent looks at its worker, and for how long a look may wait there.
+"""When the agent polls its worker, and how long a poll may wait there.
 
 Load pattern: for some seconds a part of the calls has no answer, though they may
-have been carried out. A look waits at the worker for the next end, so a lost answer
-hides all ends for as long as it would have waited; and whether a start without an
-answer runs shows in no look that waits. A lookup has a seventh of a second to spare.
+have been carried out. A poll waits at the worker for the next run to end (long
+polling), so a lost answer hides all ends for as long as the poll would have waited,
+and a waiting poll doesn't tell in time whether an unanswered start runs. A short task
+has a seventh of a second to spare.
 """
 
 from cactuswalk.dispatch.agentheld import HeldState
@@ -13,25 +14,25 @@
 
 __all__ = ["check_if_requested", "poll", "poll_if_due"]
 
-# How long a look may wait at the worker for an end: the worker's lease is renewed
-# at least three times within its length.
+# How long a poll may wait at the worker for a run to end: the worker's lease is
+# renewed at least three times within its length.
 POLL_WAIT_SECONDS = 0.15
 
-# A look after a stop: the end is listed within the worker's time for a stop.
+# Wait of a poll after a stop: the end is listed within the worker's stop time.
 STOP_POLL_WAIT_SECONDS = 0.06
 
-# After a look without an answer the next ones wait only so long, in seconds, for a
-# while: what the next lost answer hides is noticed before a short task is late.
+# After an unanswered poll the next ones wait only this long, for SHORT_POLLS_SECONDS:
+# ends that another lost answer hides are noticed before a short task is late.
 SHORT_POLL_WAIT_SECONDS = 0.02
 SHORT_POLLS_SECONDS = 1.0
 
 
 def poll_if_due(state: AgentState, now: float) -> None:
-    """Look at the worker if something of it has to be known."""
+    """Poll the worker if it has runs, unacknowledged ends or unknown runs."""
     if state.worker is None or state.poll_pending or now < state.poll_not_before:
         return
     if state.held and state.ready_to_start:
-        # It notes the ends of the last one too, and waits for the next.
+        # This also acknowledges the ends that the last poll listed.
         poll(state, now, _wait_seconds(state, now))
     elif not state.ready_to_start or state.highest_end > state.acknowledged_end:
         poll(state, now, 0.0)
@@ -46,17 +47,17 @@
 
 
 def poll(state: AgentState, now: float, wait_seconds: float) -> None:
-    """Look at the worker, and wait there for an end."""
+    """Poll the worker, waiting up to ``wait_seconds`` for a run to end."""
     state.poll_pending = True
     _send(state, now, wait_seconds, is_check=False)
 
 
 def check_if_requested(state: AgentState, now: float) -> None:
-    """Look at the worker beside a look that waits, and don't wait.
+    """Send a check, a poll that doesn't wait, next to a waiting poll.
 
-    A start without an answer is settled by what a look shows that was sent after
-    it. The one that waits would show it too late for a short task, and tasks whose
-    answer alone was lost would be stopped and begun anew.
+    Only a poll sent after a start tells whether that start, if unanswered, runs. The
+    waiting poll would tell too late for a short task, and tasks that had lost only
+    their answer would be stopped and restarted.
     """
     if not state.check_requested or state.check_pending or state.worker is None:
         return
@@ -66,10 +67,10 @@
 
 
 def _send(state: AgentState, now: float, wait_seconds: float, is_check: bool) -> None:
-    # A worker that doesn't answer is looked at without a renewal: its runs
-    # could never be told for ended if calls that it may get kept them alive.
-    # Nor is what an earlier life of this agent has left there renewed, of which
-    # only the first look tells.
+    # Polls of a worker that doesn't answer don't renew its lease: if calls that may
+    # have arrived kept its runs alive, they could never be declared ended. Nor is the
+    # lease renewed for runs left by an earlier incarnation of this agent, which only
+    # the first poll reveals.
     renews = state.reachable and state.ready_to_start
     lease = WORKER_LEASE_SECONDS if renews else 0.0
     if lease:
--- a/src/cactuswalk/dispatch/agentprogress.py
+++ b/src/cactuswalk/dispatch/agentprogress.py
@@ -1,4 +1,4 @@
-"""How the runs at a worker get on: those that stand still or drag are given back."""
+"""Progress of the runs at a worker; stalled and slow ones are stopped."""
 
 from cactuswalk.dispatch.agentcalls import stop_run
 from cactuswalk.dispatch.agentheld import HeldState, HeldTask
@@ -12,23 +12,23 @@
 
 __all__ = ["progress", "record_progress", "stop_runs_if_slow"]
 
-# A running task whose progress stands still this long, beyond its estimate, is
-# stopped and told as lost. Progress comes with each look, at most 0.15 s apart.
+# A running task without progress for this long is stopped. Progress comes with each
+# poll, at most 0.15 s apart.
 STALL_SECONDS = 0.6
-# Or this many times the twentieth part of its estimate, where that is longer.
+# Or this many times a twentieth of its estimate, if that is longer.
 STALL_FACTOR = 3.0
 
-# A run's speed is taken anew this often: three looks.
+# Interval of speed measurements of a run: three polls.
 SPEED_SECONDS = 0.5
 
 
 def record_progress(
     state: AgentState, held: HeldTask, percent: int, now: float
 ) -> None:
-    """Take note of how far a run is, and stop one that stands still."""
+    """Record the progress of a run, and stop it if it is stalled."""
     if held.state is HeldState.UNCONFIRMED:
         state.say(
-            "a start without an answer runs on",
+            "an unanswered start is running",
             **held.log_fields(),
             waited=round(now - held.since, 3),
         )
@@ -40,15 +40,15 @@
         held.percent = percent
         held.percent_at = now
     if held.state is HeldState.RUNNING and _is_stalled(state, held, now):
-        state.say("a task stands still", job=held.start.key.job, percent=percent)
+        state.say("a task is stalled", job=held.start.key.job, percent=percent)
         if state.health.record_stall(now):
-            state.say("puts the worker on trial", reason="a task stands still")
+            state.say("put the worker on trial", reason="a task is stalled")
         stop_run(state, held, "it stood still", now)
         state.mark_entries_dirty()
 
 
 def _measure_speed(held: HeldTask, percent: int, now: float) -> None:
-    """Measure how fast a run goes on lately, whatever it did before."""
+    """Measure the recent speed of a run, independent of its earlier progress."""
     began, from_percent = held.speed_sample
     if began < held.since:
         held.speed_sample = (held.since, 0)
@@ -63,13 +63,13 @@
 
 
 def stop_runs_if_slow(state: AgentState, now: float) -> None:
-    """Give tasks back that a worker which has turned slow would keep for long."""
+    """Detect a slow worker, and stop runs that finish sooner on another one."""
     running = [held for held in state.held.values() if held.state is HeldState.RUNNING]
     tasks = [progress(held, now) for held in running]
     expected_pace = pace_from_progress(tasks)
     if state.health.detect_slowdown(expected_pace):
         state.say(
-            "its worker drags", worker=state.worker.identifier, pace=expected_pace
+            "the worker is slow", worker=state.worker.identifier, pace=expected_pace
         )
         state.mark_entries_dirty()
     if not state.health.is_slow:
@@ -80,7 +80,7 @@
 
 
 def progress(held: HeldTask, now: float) -> Progress:
-    """Return how far a run is."""
+    """Return the progress of a run."""
     start = held.start
     ran = now - held.since
     return Progress(start.key.job, start.estimate_ms, ran, held.percent, held.speed)
--- a/src/cactuswalk/dispatch/agentreports.py
+++ b/src/cactuswalk/dispatch/agentreports.py
@@ -1,4 +1,4 @@
-"""What an agent reports to the entries of its worker and of their starts there."""
+"""Reports of an agent to the entries, on its worker and on their starts there."""
 
 import copy
 import math
@@ -10,17 +10,17 @@
 
 __all__ = ["report_if_dirty"]
 
-# How soon an entry of the worker's data centre hears of a change that others made,
-# for each entry there is: the cost of telling them grows with their number alone.
+# Minimum interval of reports to an entry in the worker's data centre, multiplied by the
+# number of entries: the cost of reporting then grows linearly with that number.
 NEAR_REPORT_SECONDS = 0.005
 
-# Entries elsewhere come here only when their own workers are full, and a start that
-# finds no room brings a report back.
+# The same for entries in other data centres. They use this worker only when their own
+# are full, and a start that finds no room is answered with a report.
 FAR_REPORT_SECONDS = 0.01
 
 
 def report_if_dirty(state: AgentState, now: float) -> None:
-    """Tell the entries of this worker's room, each when it needs to know."""
+    """Send a report to each entry that waits for one or whose interval has passed."""
     due = [
         peer
         for peer in state.entries.values()
@@ -42,7 +42,7 @@
 
 
 def _pause(state: AgentState, peer: EntryPeer) -> float:
-    """Return how long an entry can wait to hear of others' work here."""
+    """Return the minimum interval between reports to an entry, in seconds."""
     near = state.worker and peer.data_centre == state.worker.data_centre
     pause = NEAR_REPORT_SECONDS if near else FAR_REPORT_SECONDS
     return pause * len(state.entries)
@@ -56,7 +56,7 @@
 
 
 def _address(general: Report, peer: EntryPeer, held: list[int], now: float) -> Report:
-    """Return the report for one entry, with what it alone is told."""
+    """Return a copy of the general report with the fields for one entry filled in."""
     report = copy.copy(general)
     report.entry_life = peer.incarnation
     report.seen = peer.last_sequence
@@ -68,7 +68,7 @@
 
 
 def _general_report(state: AgentState, now: float) -> Report:
-    """Return what all entries are told alike."""
+    """Return the report without the fields that differ between entries."""
     cpu, memory_mb, gpu = state.room()
     worker = state.worker
     trial = state.health.is_restricted
--- a/src/cactuswalk/dispatch/agentstate.py
+++ b/src/cactuswalk/dispatch/agentstate.py
@@ -1,4 +1,4 @@
-"""What one agent knows, and what all parts of its reducer do with it."""
+"""State of an agent, with the operations that all parts of its reducer share."""
 
 import math
 
@@ -18,25 +18,38 @@
 
 __all__ = ["AgentState"]
 
-# What entries send before they hear that an agent is closed arrives within so long.
+# Starts that entries sent before they learnt that the agent is closed arrive within
+# this time.
 CLOSE_DELAY_SECONDS = 0.1
 
 
 class AgentState:
-    """All that one agent knows.
+    """State of one agent.
 
-    :param life: names this life of the process.
-    :param token: greater than that of any earlier life, as far as is known.
+    :param incarnation: identifies this run of the process.
+    :param token: fencing token; greater than that of any earlier incarnation, as far
+        as is known.
     :param seeds: addresses of entries from the settings.
     :param name: of the process, by which its home entries are chosen.
     :param grace_seconds: between the request to stop and a kill.
     :param drain_seconds: how long a draining worker may be given tasks.
-    :ivar entries: those that it reports to.
-    :ivar leaves_at: no sooner than then a draining worker leaves.
-    :ivar drained_at: from then on a draining worker is given nothing.
-    :ivar closes_at: from then on this agent, which is to stop, takes nothing; it ends
-        by ``stop_by``.
-    :ivar stored: data centre of each entry that the store listed, by address.
+    :ivar entries: entries that it reports to, by address.
+    :ivar stored_entries: data centre of each entry that the store listed, by address.
+    :ivar leaves_at: earliest time at which a draining worker leaves.
+    :ivar drained_at: from then on a draining worker is given no tasks.
+    :ivar closes_at: from then on this agent, once asked to stop, accepts no tasks; it
+        ends by ``stop_by``.
+    :ivar candidate: a new incarnation of the worker that has not answered a poll yet.
+    :ivar reachable: the worker answers polls.
+    :ivar ready_to_start: the worker runs nothing of an earlier incarnation of this
+        agent.
+    :ivar held: accepted starts that have not ended, by handle.
+    :ivar runs: highest run number used for each task.
+    :ivar highest_end: highest number of an ended run that the worker has listed;
+        ``acknowledged_end`` of those, the highest that a poll has acknowledged.
+    :ivar check_requested: a poll that doesn't wait is to be sent.
+    :ivar renewed_at: when the worker's lease was renewed last.
+    :ivar entries_asked_at: when the store was asked for the entries last.
     """
 
     def __init__(
@@ -71,8 +84,8 @@
         self.ready_to_start = False
         self.health = WorkerHealth()
         self.held: dict[int, HeldTask] = {}
-        # By the life of the entry and its sequence: a new life counts from 1 again,
-        # while starts of the one before may still be on their way to a stop.
+        # Handles by the entry's incarnation and sequence: a new incarnation counts from
+        # 1 again, while starts of the one before may still be stopping.
         self.by_sequence: dict[tuple[str, int], int] = {}
         self.runs: dict[object, int] = {}
         self.next_handle = 1
@@ -90,11 +103,11 @@
         self.effects: list[Effect] = []
 
     def is_idle(self, now: float) -> bool:
-        """Return whether nothing is held, and every end is noted by who can note it.
+        """Return whether all runs have ended and every reachable entry knows the ends.
 
-        An entry that is gone for good notes nothing any more: waiting for it would
-        hold a planned stop up until the process is about to be killed. What was sent
-        before the entries heard that this agent is closed may still be on its way.
+        An entry that is gone acknowledges nothing any more: waiting for it would delay
+        a planned stop until the process is about to be killed. Starts that were sent
+        before the entries learnt that this agent is closed may still be in transit.
         """
         if self.held or (self.stopping and now < self.closes_at + CLOSE_DELAY_SECONDS):
             return False
@@ -103,7 +116,7 @@
         )
 
     def room(self) -> tuple[int, int, int]:
-        """Return what is free: thousandths of a core, megabytes, accelerators."""
+        """Return the free capacity: thousandths of a core, megabytes, accelerators."""
         if self.worker is None:
             return 0, 0, 0
         starts = [held.start for held in self.held.values()]
@@ -114,7 +127,7 @@
         )
 
     def is_open(self, now: float) -> bool:
-        """Return whether the worker may be given tasks, those that end in time."""
+        """Return whether the worker accepts tasks that end within ``seconds_left``."""
         return (
             self.worker is not None
             and self.reachable
@@ -124,7 +137,10 @@
         )
 
     def seconds_left(self, now: float) -> float:
-        """Return within how long new tasks have to end; infinite if nobody leaves."""
+        """Return the time within which new tasks have to end, in seconds.
+
+        Infinite if neither the worker nor the agent leaves.
+        """
         left = math.inf
         if self.worker is not None and self.worker.draining:
             left = self.leaves_at - now if now < self.drained_at else 0.0
@@ -133,7 +149,10 @@
         return max(0.0, left)
 
     def lost_at(self) -> float:
-        """Return when what runs is lost, at the earliest; infinite if nobody leaves."""
+        """Return the earliest time at which running tasks are lost.
+
+        Infinite if neither the worker nor the agent leaves.
+        """
         leaves_at = math.inf
         if (
             self.worker is not None
@@ -144,13 +163,13 @@
         return min(leaves_at, self.stop_by)
 
     def is_evacuated(self) -> bool:
-        """Return whether the data centre's workers are to get no new tasks."""
+        """Return whether the agent's data centre is evacuated: no new tasks start."""
         return self.data_centre in self.evacuations.data_centres
 
     def apply_evacuations(self, evacuations: Evacuations, entry: str) -> None:
-        """Take or refuse tasks by newer evacuations from now on.
+        """Replace the known evacuations by newer ones.
 
-        :param entry: who told of them.
+        :param entry: address of the entry that sent them.
         """
         if not evacuations.is_newer_than(self.evacuations):
             return
@@ -159,7 +178,9 @@
         if self.is_evacuated() == was_evacuated:
             return
         self.say(
-            "its data centre is taken back" if was_evacuated else "is evacuated",
+            "the evacuation of the data centre has ended"
+            if was_evacuated
+            else "the data centre is evacuated",
             revision=evacuations.revision,
             entry=entry,
             held=len(self.held),
@@ -167,27 +188,27 @@
         self.mark_entries_dirty()
 
     def can_try(self, now: float) -> bool:
-        """Return whether an unsound worker may be given a task to see how it does."""
+        """Return whether a worker on trial or a slow one may be given a test task."""
         if self.health.on_trial and self.held:
             return False
         return self.health.can_try(now)
 
     def say(self, sentence: str, **fields: object) -> None:
-        """Have a log line written."""
+        """Add a log line to the effects."""
         self.effects.append(Say(sentence, fields))
 
     def observe(self, name: str, label: str = "", seconds: float | None = None) -> None:
-        """Have an event counted, or a duration recorded."""
+        """Add a metric to the effects: count an event, or record a duration."""
         self.effects.append(Observe(name, label, seconds))
 
     def mark_entries_dirty(self) -> None:
-        """Have every entry told of a change, soon."""
+        """Have a report sent to every entry once its report interval has passed."""
         for peer in self.entries.values():
             if peer.incarnation:
                 peer.dirty = True
 
     def send_end(self, peer: EntryPeer, ended: Ended, now: float) -> None:
-        """Tell an entry of an end, and keep it until it is noted."""
+        """Send an end to an entry, and keep it until it is acknowledged."""
         peer.pending_ends[ended.sequence] = ended
         peer.end_sent_at[ended.sequence] = now
         peer.urgent = True
@@ -196,7 +217,7 @@
     def end(
         self, held: HeldTask, end: TaskEnd, ran_ms: int, reason: str, now: float
     ) -> None:
-        """Forget a start that has ended, and tell its entry."""
+        """Remove a start that has ended, and send the end to its entry."""
         del self.held[held.handle]
         del self.by_sequence[(held.start.life, held.start.sequence)]
         self.mark_entries_dirty()
@@ -218,5 +239,5 @@
         self.send_end(peer, ended, now)
 
     def is_current(self, worker: str) -> bool:
-        """Return whether a name is the present worker's."""
+        """Return whether this is the identifier of the worker's current incarnation."""
         return self.worker is not None and self.worker.identifier == worker
--- a/src/cactuswalk/dispatch/agentworker.py
+++ b/src/cactuswalk/dispatch/agentworker.py
@@ -1,4 +1,4 @@
-"""The worker as its agent sees it: its announcements, and what looks show."""
+"""Handling of the worker's announcements and of its answers to polls."""
 
 import math
 
@@ -42,21 +42,21 @@
     "handle_poll_failure",
 ]
 
-# Pause after a look that failed, so that a worker that refuses isn't called in a
-# tight loop. Ends that come meanwhile are noticed that much later.
+# Delay after a failed poll, so that a worker that refuses calls isn't polled in a
+# tight loop. Ends that occur meanwhile are noticed that much later.
 POLL_RETRY_SECONDS = 0.01
 
-# A worker that answers no look for so long is given nothing new: three looks.
+# A worker that answers no poll for this long, three polls, is given no new tasks.
 UNREACHABLE_SECONDS = 0.3
 
 
 def handle_heartbeat(state: AgentState, event: Announced, now: float) -> None:
-    """Take a heartbeat of the worker."""
+    """Handle a heartbeat of the worker."""
     worker = event.worker
     known = state.worker
     if known is not None and known.identifier == worker.identifier:
         if worker.sequence < known.sequence:
-            state.say("an older heartbeat is ignored", sequence=worker.sequence)
+            state.say("ignored an outdated heartbeat", sequence=worker.sequence)
             return
         state.worker = worker
         if worker.draining:
@@ -67,8 +67,8 @@
     if known is None:
         _adopt_worker(state, worker, now)
         return
-    # A heartbeat of an earlier life may have been held up on its way. It must
-    # not end what runs on the present one: the new life has to answer first.
+    # This may be a delayed heartbeat of an earlier incarnation, which must not end the
+    # runs of the current one: the other incarnation has to answer a poll first.
     state.candidate = worker
     state.effects.append(
         PollWorker(worker.identifier, state.token, 0, 0, WORKER_LEASE_SECONDS)
@@ -76,13 +76,13 @@
 
 
 def _record_draining(state: AgentState, known: bool, now: float) -> None:
-    """Take note of how much time is left to a draining worker."""
+    """Record when a draining worker leaves, and until when it is given tasks."""
     state.leaves_at = now + state.worker.leaves_in_ms / 1000
     if known:
         return
     state.drained_at = now + state.drain_seconds
     state.say(
-        "the worker drains",
+        "the worker is draining",
         worker=state.worker.identifier,
         leaves_in_ms=state.worker.leaves_in_ms,
         held=len(state.held),
@@ -90,14 +90,14 @@
 
 
 def _adopt_worker(state: AgentState, worker: Worker, now: float) -> None:
-    """Begin with another life of the worker: whatever ran before has ended."""
+    """Switch to a new incarnation of the worker; all earlier runs have ended."""
     previous = state.worker.identifier if state.worker else ""
-    state.say("meets a worker", worker=worker.identifier, previous=previous)
+    state.say("found a worker", worker=worker.identifier, previous=previous)
     mark_all_lost(state, "the worker's life ended", now)
     state.worker = worker
     state.candidate = None
     state.announced_at = now
-    # One that drains already may have been doing so for long.
+    # A worker that is draining already may have been so for long: it gets no tasks.
     state.leaves_at = now + worker.leaves_in_ms / 1000
     state.drained_at = now
     state.reachable = True
@@ -112,7 +112,7 @@
 
 
 def handle_departure(state: AgentState, event: Departed, now: float) -> None:
-    """Take note that the worker has left."""
+    """Handle the worker's announcement that it leaves."""
     if state.worker is None or state.worker.identifier != event.identifier:
         return
     state.say("the worker has left", worker=event.identifier)
@@ -120,7 +120,7 @@
 
 
 def handle_poll_answer(state: AgentState, event: PollAnswered, now: float) -> None:
-    """Take what a look at the worker has shown."""
+    """Apply the worker's answer to a poll."""
     if state.candidate is not None and state.candidate.identifier == event.worker:
         _adopt_worker(state, state.candidate, now)
         return
@@ -148,7 +148,7 @@
             _finish_run(state, held, row.end, now)
         elif held is None and row.key is not None and row.number > known:
             state.say(
-                "a run of an earlier life has ended",
+                "a run of an earlier incarnation has ended",
                 job=row.key.job,
                 run=row.run,
                 end=row.end.value,
@@ -156,7 +156,7 @@
 
 
 def _apply_running(state: AgentState, event: PollAnswered, now: float) -> int:
-    """Take what runs; return how many runs of it are nobody's."""
+    """Apply the list of running runs; return how many of them are unknown."""
     running = {(row.key, row.run): row for row in event.running}
     for held in list(state.held.values()):
         row = running.pop((held.start.key, held.run), None)
@@ -165,7 +165,7 @@
         elif _has_never_started(state, held, event.sent_at):
             state.end(held, TaskEnd.STOPPED, 0, "never began", now)
         elif _is_unconfirmed(held) and event.sent_at >= held.called_at:
-            _cancel_start(state, held, "no look shows it", now)
+            _cancel_start(state, held, "a poll doesn't list it", now)
     for row in running.values():
         _stop_unknown_run(state, row.key, row.run)
     stop_runs_if_slow(state, now)
@@ -174,21 +174,21 @@
 
 
 def _has_never_started(state: AgentState, held: HeldTask, polled_at: float) -> bool:
-    """Return whether a look without a run shows that it won't come.
+    """Return whether a run that a poll doesn't list has not started and never will.
 
-    Only one that was sent after a confirmed stop does: the worker refuses a
-    run that was stopped before it arrived. A stop without an answer may be lost, and
-    the start be carried out yet, in room that others have been given by then.
+    This holds only if the poll was sent after a confirmed stop: the worker refuses a
+    run that was stopped before its start arrived. An unanswered stop may be lost, and
+    the start carried out later, in capacity that other tasks have been given by then.
     """
     stopped = held.state is HeldState.STOPPING and not held.call_pending
     return stopped and held.stop_confirmed and polled_at >= held.called_at
 
 
 def _stop_unknown_run(state: AgentState, key, run: int) -> None:
-    """Stop a run of an earlier life of this agent: no entry waits for it."""
+    """Stop a run of an earlier incarnation of this agent: no entry waits for it."""
     if key is None:
         return
-    state.say("stops a run of an earlier life", job=key.job, run=run)
+    state.say("stops a run of an earlier incarnation", job=key.job, run=run)
     state.runs[key] = max(run, state.runs.get(key, 0))
     state.effects.append(StopTask(state.worker.identifier, 0, key, run, state.token))
 
@@ -200,7 +200,7 @@
         state.end(held, TaskEnd.DONE, int(ran_ms), "", now)
     elif end is RunEnd.FAILED:
         if state.health.record_failure(held.start.key.job, now):
-            state.say("puts the worker on trial", reason="it fails what it starts")
+            state.say("put the worker on trial", reason="its tasks keep failing")
         state.end(held, TaskEnd.FAILED, int(ran_ms), "", now)
     elif end is RunEnd.STOPPED and held.state is HeldState.STOPPING:
         state.end(held, TaskEnd.STOPPED, int(ran_ms), held.reason, now)
@@ -216,14 +216,14 @@
 
 
 def _is_unconfirmed(held: HeldTask) -> bool:
-    """Return whether nothing is known of a start, and nothing is being asked."""
+    """Return whether a start is unconfirmed and no call on it is pending."""
     return held.state is HeldState.UNCONFIRMED and not held.call_pending
 
 
 def _cancel_start(state: AgentState, held: HeldTask, reason: str, now: float) -> None:
-    """Have the worker refuse a start without an answer, should it arrive yet."""
+    """Have the worker refuse an unanswered start if it arrives later."""
     state.say(
-        "forbids a start without an answer",
+        "cancels an unanswered start",
         **held.log_fields(),
         reason=reason,
         waited=round(now - held.since, 3),
@@ -232,9 +232,9 @@
 
 
 def handle_poll_failure(state: AgentState, event: PollFailed, now: float) -> None:
-    """Take note that a look had no answer."""
+    """Handle a poll that failed or had no answer."""
     if state.candidate is not None and state.candidate.identifier == event.worker:
-        state.say("another life does not answer", worker=event.worker)
+        state.say("another incarnation does not answer", worker=event.worker)
         state.candidate = None
         return
     if not state.is_current(event.worker):
@@ -254,9 +254,9 @@
     if event.is_check:
         for held in list(state.held.values()):
             if _is_unconfirmed(held):
-                _cancel_start(state, held, "the look had no answer either", now)
+                _cancel_start(state, held, "the poll had no answer either", now)
     else:
-        # A single call that is lost must not hide the ends that come meanwhile.
+        # A short delay, so that one lost call doesn't hide ends for long.
         state.poll_not_before = now + POLL_RETRY_SECONDS
     if now - state.answered_at < UNREACHABLE_SECONDS:
         return
--- a/src/cactuswalk/dispatch/effects.py
+++ b/src/cactuswalk/dispatch/effects.py
@@ -1,4 +1,4 @@
-"""What the entry's and the agent's reducers want done."""
+"""Effects that the reducers of entry and agent return to be carried out."""
 
 import msgspec
 
@@ -7,10 +7,10 @@
 
 __all__ = [
     "Answer",
-    "AskEntries",
     "Effect",
     "Observe",
     "PollWorker",
+    "ReadEntries",
     "Say",
     "SendMessage",
     "StartTask",
@@ -26,9 +26,9 @@
 
 
 class Answer(msgspec.Struct):
-    """Tell a caller how its job ended.
+    """Answer a caller with the verdict on its job.
 
-    :param retry_after: seconds, for a job that has not run.
+    :param retry_after: delay in seconds before a retry, for a job that has not run.
     """
 
     waiter: int
@@ -38,9 +38,9 @@
 
 
 class StartTask(msgspec.Struct):
-    """Have the worker start a task; ends in ``StartAnswered``.
+    """Have the worker start a task; results in ``StartAnswered``.
 
-    :param lease_seconds: for which the worker may run what it runs, from now.
+    :param lease_seconds: how long from now the worker may run all its tasks.
     """
 
     worker: str
@@ -53,7 +53,7 @@
 
 
 class StopTask(msgspec.Struct):
-    """Have the worker stop a run, or never begin it; ends in ``StopAnswered``."""
+    """Have the worker stop a run or refuse its start; results in ``StopAnswered``."""
 
     worker: str
     handle: int
@@ -63,11 +63,14 @@
 
 
 class PollWorker(msgspec.Struct):
-    """Renew the worker's lease and see what it runs; ends in ``PollAnswered``.
+    """Renew the worker's lease and list its runs.
 
-    :param noted: ends up to this number may be forgotten.
-    :param wait_ms: how long the answer may wait for an end.
-    :param is_check: made beside one that waits.
+    Results in ``PollAnswered`` or ``PollFailed``.
+
+    :param noted: acknowledges ends up to this number; the worker may forget them.
+    :param wait_ms: how long the answer may wait for a run to end.
+    :param lease_seconds: new length of the lease; 0 doesn't renew it.
+    :param is_check: sent next to a waiting poll, without waiting.
     """
 
     worker: str
@@ -78,12 +81,12 @@
     is_check: bool = False
 
 
-class AskEntries(msgspec.Struct):
-    """Read the entries' addresses from the platform; ends in ``EntriesRead``."""
+class ReadEntries(msgspec.Struct):
+    """Read the entries from the platform's store; results in ``EntriesRead``."""
 
 
 class Say(msgspec.Struct):
-    """A log line: one short sentence, and the values that led to it."""
+    """Write a log line: one short sentence, and the values that led to it."""
 
     sentence: str
     fields: dict[str, object]
@@ -104,7 +107,7 @@
     | StartTask
     | StopTask
     | PollWorker
-    | AskEntries
+    | ReadEntries
     | Say
     | Observe
 )
--- a/src/cactuswalk/dispatch/evacuation.py
+++ b/src/cactuswalk/dispatch/evacuation.py
@@ -1,12 +1,12 @@
-"""Which data centres are evacuated: their workers are to get no new tasks.
+"""The evacuated data centres, whose workers get no new tasks.
 
-The operators ask for it in the platform's store, and entries read it there. An entry
-that the store turns away goes on placing on what it knew, and an agent of an evacuated
-data centre would start its tasks. So what is evacuated passes from entry to entry, and
-from each of them to its agents; an agent refuses by itself what comes too late.
+Operators request evacuations in the platform's store, where entries read them. An entry
+that can't reach the store continues to place tasks by outdated information, and an
+agent of an evacuated data centre would start them. So entries pass the evacuations on
+to each other and to their agents, and an agent itself declines starts that come later.
 
-What is newer is told by the store's revision alone: messages overtake each other, and
-an entry that was cut off for long comes back with what it knew then.
+Only the store's revision decides which information is newer: messages overtake each
+other, and an entry that was partitioned for long returns with outdated information.
 """
 
 import msgspec
@@ -15,17 +15,17 @@
 
 
 class Evacuations(msgspec.Struct, array_like=True, frozen=True):
-    """All data centres that are evacuated.
+    """The set of evacuated data centres.
 
-    :param revision: of the store when this was so; 0 if nobody has read it yet.
-    :param data_centres: their names, in order.
+    :param revision: of the store when they were read; 0 if they have not been read yet.
+    :param data_centres: their names, sorted.
     """
 
     revision: int = 0
     data_centres: tuple[str, ...] = ()
 
     def is_newer_than(self, other: "Evacuations") -> bool:
-        """Return whether this replaces what is known."""
+        """Return whether this was read at a later revision than the other."""
         return self.revision > other.revision
 
 
--- a/src/cactuswalk/dispatch/leaving.py
+++ b/src/cactuswalk/dispatch/leaving.py
@@ -1,29 +1,29 @@
-"""What a worker that is about to leave may still be given, and what must go elsewhere.
+"""Decides which tasks can still finish on a worker that is about to leave.
 
-Load pattern: hosts are rolled or taken away in series, while the load is at its usual
-height or above. Each is on its way out for some seconds. Closed to all tasks from the
-first of them, a tenth or a fifth of all room stands empty until the last long task has
-ended, and callers are refused in that time. And a task that its worker can't end any
-more is noticed when the worker has gone: by then its job is late, wherever it runs
-again.
+Load pattern: hosts are restarted or removed one after another, while the load is at its
+usual level or above. Each takes some seconds to leave. If they accepted no tasks in
+that time, a tenth or a fifth of all capacity would be idle until the last long task
+has ended, and jobs would be refused. And a run that is lost with its worker is noticed
+only then: by that time its job is late, wherever it is restarted.
 
-So a leaving worker takes tasks that are sure to end before it goes, and one that can't
-end there is given back as soon as that is known.
+So a leaving worker accepts tasks that will certainly finish before it leaves, and a
+task that can't finish there is stopped as soon as that is known.
 """
 
 from cactuswalk.dispatch.workerhealth import MIN_PROGRESS_SECONDS, Progress
 
 __all__ = ["can_finish_in_time", "cannot_finish"]
 
-# Callers' estimates are off by 40%; a task that is lost costs more than one that
-# waits a moment longer.
+# Callers' estimates are off by 40%, and losing a task costs more than placing it a
+# moment later.
 OVERRUN_FACTOR = 1.5
 
-# The report was some time on its way, the start will be, and so is the word of the end.
+# Covers the transit of the report, of the start and of the end message.
 MESSAGE_DELAY_MS = 200
 
-# A run is given back if it would take so much longer than there is time. Progress
-# comes in whole percents, and the time that is left is the least that there is.
+# A run is stopped if its remaining run time exceeds the remaining time by this factor
+# and this many milliseconds. Progress comes in whole percents, and the remaining time
+# is a lower bound.
 SHORTFALL_FACTOR = 1.1
 SHORTFALL_MS = 50
 
@@ -31,14 +31,17 @@
 def can_finish_in_time(expected_ms: float, remaining_ms: float) -> bool:
     """Return whether a task that is sent now ends before its worker leaves.
 
-    :param expected_ms: how long it is expected to run there.
-    :param left_ms: until the worker leaves.
+    :param expected_ms: expected run time on that worker.
+    :param remaining_ms: time until the worker leaves.
     """
     return OVERRUN_FACTOR * expected_ms + MESSAGE_DELAY_MS <= remaining_ms
 
 
 def cannot_finish(task: Progress, remaining_ms: float) -> bool:
-    """Return whether a running task is lost with its worker."""
+    """Return whether a running task will not end before its worker leaves.
+
+    :param remaining_ms: time until the worker leaves.
+    """
     if task.seconds < MIN_PROGRESS_SECONDS:
         return False
     return task.remaining_ms > SHORTFALL_FACTOR * remaining_ms + SHORTFALL_MS
--- a/src/cactuswalk/dispatch/workerhealth.py
+++ b/src/cactuswalk/dispatch/workerhealth.py
@@ -1,9 +1,9 @@
-"""Judge a worker by what ends there: its pace, and whether it fails everything.
+"""Health of a worker, derived from its run times, failures and progress.
 
-Load pattern: one worker of many turns several times slower, or fails each task
-within a millisecond while it says that it is well. Its room is always free, so it
-draws most of the work, and every wide job has a task there. Without this module
-one bad worker decides what most callers receive.
+Load pattern: one worker of many becomes several times slower, or fails each task
+within a millisecond while it reports that it is healthy. Its capacity is always
+free, so it attracts most of the work, and every job with many tasks has one there.
+Without this module one bad worker determines the result of most jobs.
 """
 
 import statistics
@@ -19,54 +19,56 @@
     "should_move",
 ]
 
-# Weight of an end in the pace. Estimates are off by some 40%; over the last 16
-# ends that averages to 10%, which tells a worker that is four times slower.
+# Weight of one run in the average pace. Estimates are off by about 40%; averaged over
+# the last 16 runs the error is 10%, small enough to detect a worker that is four times
+# slower.
 PACE_GAIN = 1 / 16
 
-# Below this many ends a pace says little, and is drawn towards 1.
+# With fewer samples than this the average pace is unreliable, and is kept close to 1.
 PACE_PRIOR_SAMPLES = 4
 
-# Failures in a row, of different jobs, after which a worker is on trial. A job that can
-# never be done fails everywhere; where a few of a hundred are such, three in a row are
-# rarely chance.
+# Consecutive failures, of different jobs, that put a worker on trial. An impossible
+# job fails on every worker; if a few in a hundred jobs are impossible, three failures
+# in a row are rarely a coincidence.
 FAILURES_BEFORE_TRIAL = 3
 
-# A worker on trial gets a task this often, so that the trial costs little.
+# Interval between tasks for a worker on trial; long, so that few tasks are at risk.
 TRIAL_SECONDS = 0.5
 
-# Successes in a row that end a trial.
+# Consecutive successes that end a trial.
 SUCCESSES_TO_END_TRIAL = 2
 
-# A worker drags when the progress of what it runs foretells this many times the
-# run times that it has shown so far. Estimates are off by 40%, and three tasks of
-# two jobs average that to a quarter.
+# A worker is slow when the progress of its running tasks predicts run times this many
+# times longer than its average so far. Estimates are off by 40%; over three tasks of
+# two jobs the error averages to a quarter.
 SLOWDOWN_FACTOR = 3.0
 MIN_SLOWDOWN_TASKS = 3
-# Where callers' estimates are twice too long all paces are low, and what still runs
-# at any moment is the longer part of the tasks: by the pace alone sound workers would
-# be taken for slow.
+# If callers' estimates are twice too long, all paces are low, while the tasks that are
+# running at any moment are mostly the longer ones: compared with the pace alone,
+# healthy workers would count as slow.
 MIN_PACE = 0.8
 MIN_SLOWDOWN_JOBS = 2
 
-# A task that takes less than this part of its worker's pace tells that the worker
-# has recovered: a slow one gets one task at a time, and three of them must do.
+# A run shorter than this fraction of what the worker's pace predicts shows that the
+# worker has recovered. A slow worker gets one task at a time, so the pace has to
+# return to normal within three tasks.
 RECOVERED_RATIO = 0.5
 RECOVERY_GAIN = 0.5
 
-# Progress says little before a task has run for this long, in seconds.
+# The progress of a task is unreliable until it has run for this long.
 MIN_PROGRESS_SECONDS = 0.1
 
-# A task is moved off a dragging worker if it would run there for this many times
-# its estimate yet: anywhere else it is done sooner, though it starts anew.
+# A task is moved off a slow worker if its remaining run time there exceeds this many
+# times its estimate: it finishes sooner on any other worker, though it restarts.
 MOVE_FACTOR = 2.0
 
 
 class Progress(msgspec.Struct):
-    """How far a running task is.
+    """Progress of a running task.
 
-    :param seconds: for which it has run.
-    :param percent: of its work that is done.
-    :param speed: lately, in percent a second; 0 where that is not known yet.
+    :param seconds: run time so far.
+    :param percent: part of its work that is done.
+    :param speed: recent speed, in percent per second; 0 if not measured yet.
     """
 
     job: str
@@ -77,57 +79,65 @@
 
     @property
     def total_ms(self) -> float:
-        """How long all of it would take, at the speed that it has lately."""
+        """Total run time at the recent speed."""
         speed = self.speed or max(1, self.percent) / self.seconds
         return 100 / speed * 1000
 
     @property
     def remaining_ms(self) -> float:
-        """How long it will run yet, at the speed that it has lately."""
+        """Remaining run time at the recent speed."""
         return self.total_ms * (100 - self.percent) / 100
 
 
 def recent_speed(percent: int, seconds: float) -> float:
-    """Return the speed of a run that went on by so much, in percent a second.
+    """Return the speed of a run over an interval, in percent per second.
 
-    Whole percents are listed, so that up to one more may have been done.
+    Workers report whole percents, so up to one percent more may have been done.
+
+    :param percent: progress made in the interval.
+    :param seconds: length of the interval.
     """
     return (percent + 1) / seconds
 
 
 def pace_from_progress(tasks: list[Progress]) -> float:
-    """Return what the running tasks' progress says of a worker's pace.
+    """Return the pace that the progress of the running tasks predicts.
 
-    A worker that turns several times slower ends nothing for a while, so that its
-    ends tell of it last; and what its tasks had done before would hide it for seconds,
-    so that their speed counts which they have lately. 0 where there is too little to
-    go by: a single job may be slow by itself, wherever it runs.
+    A worker that becomes several times slower finishes nothing for a while, so
+    finished runs show the slowdown too late. Progress made before the slowdown would
+    hide it for seconds, so only the recent speed counts. Returns 0 if there are too
+    few tasks or jobs: a single job may be slow on any worker.
     """
-    told = [
+    measured = [
         task
         for task in tasks
         if task.seconds >= MIN_PROGRESS_SECONDS and task.estimate_ms > 0
     ]
-    if len(told) < MIN_SLOWDOWN_TASKS:
+    if len(measured) < MIN_SLOWDOWN_TASKS:
         return 0.0
-    if len({task.job for task in told}) < MIN_SLOWDOWN_JOBS:
+    if len({task.job for task in measured}) < MIN_SLOWDOWN_JOBS:
         return 0.0
-    return statistics.median(task.total_ms / task.estimate_ms for task in told)
+    return statistics.median(task.total_ms / task.estimate_ms for task in measured)
 
 
 def should_move(task: Progress) -> bool:
-    """Return whether a task on a dragging worker is better begun elsewhere."""
+    """Return whether a task on a slow worker should be restarted on another one."""
     if task.seconds < MIN_PROGRESS_SECONDS:
         return False
     return task.remaining_ms > MOVE_FACTOR * task.estimate_ms
 
 
 class WorkerHealth(msgspec.Struct):
-    """What one life of a worker has shown.
-
-    :param pace: run time over estimate, averaged.
-    :param drags: it turned far slower, and no task has shown yet that it recovered.
+    """Health of one incarnation of a worker.
+
+    :param pace: average ratio of run time to estimate.
+    :param is_slow: it became far slower, and no run has shown a recovery yet.
+    :param samples: number of runs in the average pace.
+    :param failed_jobs: jobs whose tasks failed since the last success.
+    :param successes: consecutive successes of the current trial.
+    :param on_trial: it gets one task at a time until enough of them succeed.
     :param trial_started_at: when it was put on trial.
+    :param last_trial_at: when the last trial task failed or, on a slow worker, started.
     """
 
     pace: float = 1.0
@@ -141,16 +151,16 @@
 
     @property
     def is_restricted(self) -> bool:
-        """Whether it gets a task only now and then, to see how it does."""
+        """Whether it gets only an occasional task, to test whether it recovered."""
         return self.on_trial or self.is_slow
 
     def record_success(self, estimate_ms: int, ran_ms: float, began: float) -> None:
-        """Take note of a task that ended well.
+        """Record a run that succeeded.
 
-        A run that began before the worker turned bad tells nothing of it now: two
-        such ends would stop the trial, and the next jobs fail there.
+        A run that began before the trial doesn't count towards its end: such runs may
+        still succeed on a worker that fails every new task, and would end the trial.
 
-        :param began: when it started to run, by the agent's clock.
+        :param began: when the run started, by the agent's clock.
         """
         self.failed_jobs.clear()
         self.update_pace(estimate_ms, ran_ms)
@@ -159,7 +169,7 @@
             self.on_trial = self.successes < SUCCESSES_TO_END_TRIAL
 
     def record_failure(self, job: str, now: float) -> bool:
-        """Take note of a task that failed; return whether a trial begins."""
+        """Record a run that failed; return whether a trial begins."""
         if job not in self.failed_jobs:
             self.failed_jobs.append(job)
         if self.on_trial:
@@ -172,13 +182,13 @@
         return True
 
     def record_stall(self, now: float) -> bool:
-        """Take note of a task that stands still; return whether a trial begins."""
+        """Record a task without progress; return whether a trial begins."""
         began = not self.on_trial
         self._begin_trial(now)
         return began
 
     def update_pace(self, estimate_ms: int, ran_ms: float) -> None:
-        """Learn from how long a task ran, or has to run by its progress."""
+        """Add the run time of a task to the average pace."""
         if estimate_ms <= 0 or ran_ms <= 0:
             return
         self.samples += 1
@@ -190,9 +200,9 @@
         self.pace += gain * (ratio - self.pace)
 
     def detect_slowdown(self, expected_pace: float) -> bool:
-        """Return whether progress foretells a worker far slower than it was.
+        """Return whether the predicted pace shows a slowdown, and mark the worker slow.
 
-        Its pace is then taken for what is foretold, until ends show another.
+        The predicted pace then replaces the average, until finished runs change it.
         """
         if expected_pace <= SLOWDOWN_FACTOR * max(self.pace, MIN_PACE):
             return False
@@ -201,7 +211,7 @@
         return True
 
     def can_try(self, now: float) -> bool:
-        """Return whether a worker on trial may be given its next task."""
+        """Return whether enough time has passed for the next trial task."""
         return now - self.last_trial_at >= TRIAL_SECONDS
 
     def _begin_trial(self, now: float) -> None:
--- a/src/cactuswalk/runtime/dispatchagent.py
+++ b/src/cactuswalk/runtime/dispatchagent.py
@@ -15,7 +15,7 @@
     Tick,
 )
 from cactuswalk.dispatch.agentstate import AgentState
-from cactuswalk.dispatch.effects import AskEntries, PollWorker, StartTask, StopTask
+from cactuswalk.dispatch.effects import PollWorker, ReadEntries, StartTask, StopTask
 from cactuswalk.observations import Part
 from cactuswalk.platform.announcements import AnnouncementEdge
 from cactuswalk.platform.errors import PlatformError
@@ -70,7 +70,7 @@
             StartTask: lambda effect: self._call(self.worker.start(effect)),
             StopTask: lambda effect: self._call(self.worker.stop(effect)),
             PollWorker: lambda effect: self._call(self.worker.look(effect)),
-            AskEntries: lambda effect: self._call(self._ask_entries()),
+            ReadEntries: lambda effect: self._call(self._ask_entries()),
         }
 
     async def run(self) -> None:
--- a/tools/deployment.py
+++ b/tools/deployment.py
@@ -169,7 +169,7 @@
         for number in range(self.workers):
             name = f"agent-{number}"
             wait_until(
-                lambda name=name: self.tail_has(name, "meets a worker"),
+                lambda name=name: self.tail_has(name, "found a worker"),
                 READY_SECONDS,
                 name,
             )
