--- a/src/cactuswalk/dispatch/agent.py
+++ b/src/cactuswalk/dispatch/agent.py
@@ -31,12 +31,12 @@
 )
 from cactuswalk.dispatch.agentheld import HeldState
 from cactuswalk.dispatch.agentleaving import close_if_idle, handle_stop_request
+from cactuswalk.dispatch.agentlooks import check_if_requested, poll_if_due
 from cactuswalk.dispatch.agentmembers import (
     handle_entries,
     refresh_peers,
     request_entries,
 )
-from cactuswalk.dispatch.agentpolls import check_if_requested, poll_if_due
 from cactuswalk.dispatch.agentreports import report_if_dirty
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.agentworker import (
--- a/src/cactuswalk/dispatch/agentleaving.py
+++ b/src/cactuswalk/dispatch/agentleaving.py
@@ -9,7 +9,7 @@
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.bounds import STOP_MARGIN_SECONDS
 from cactuswalk.dispatch.leaving import cannot_finish
-from cactuswalk.dispatch.workerhealth import MIN_PROGRESS_SECONDS
+from cactuswalk.dispatch.soundness import MIN_PROGRESS_SECONDS
 
 __all__ = ["close_if_idle", "handle_stop_request", "stop_unfinishable_runs"]
 
--- a/src/cactuswalk/dispatch/agentprogress.py
+++ b/src/cactuswalk/dispatch/agentprogress.py
@@ -3,7 +3,7 @@
 from cactuswalk.dispatch.agentcalls import stop_run
 from cactuswalk.dispatch.agentheld import HeldState, HeldTask
 from cactuswalk.dispatch.agentstate import AgentState
-from cactuswalk.dispatch.workerhealth import (
+from cactuswalk.dispatch.soundness import (
     Progress,
     pace_from_progress,
     recent_speed,
--- a/src/cactuswalk/dispatch/agentstate.py
+++ b/src/cactuswalk/dispatch/agentstate.py
@@ -12,7 +12,7 @@
 from cactuswalk.dispatch.evacuation import NOTHING_EVACUATED, Evacuations
 from cactuswalk.dispatch.job import Worker
 from cactuswalk.dispatch.messages import Ended, TaskEnd
-from cactuswalk.dispatch.workerhealth import (
+from cactuswalk.dispatch.soundness import (
     WorkerHealth,
 )
 
--- a/src/cactuswalk/dispatch/agentworker.py
+++ b/src/cactuswalk/dispatch/agentworker.py
@@ -18,7 +18,7 @@
 )
 from cactuswalk.dispatch.agentheld import HeldState, HeldTask
 from cactuswalk.dispatch.agentleaving import stop_unfinishable_runs
-from cactuswalk.dispatch.agentpolls import poll
+from cactuswalk.dispatch.agentlooks import poll
 from cactuswalk.dispatch.agentprogress import record_progress, stop_runs_if_slow
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.bounds import (
@@ -31,7 +31,7 @@
 )
 from cactuswalk.dispatch.job import Worker
 from cactuswalk.dispatch.messages import TaskEnd
-from cactuswalk.dispatch.workerhealth import (
+from cactuswalk.dispatch.soundness import (
     WorkerHealth,
 )
 
--- a/src/cactuswalk/dispatch/leaving.py
+++ b/src/cactuswalk/dispatch/leaving.py
@@ -10,7 +10,7 @@
 task that can't finish there is stopped as soon as that is known.
 """
 
-from cactuswalk.dispatch.workerhealth import MIN_PROGRESS_SECONDS, Progress
+from cactuswalk.dispatch.soundness import MIN_PROGRESS_SECONDS, Progress
 
 __all__ = ["can_finish_in_time", "cannot_finish"]
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -57,7 +57,7 @@
     ),
     SourceChange(
         "trial of a worker that fails",
-        f"{DISPATCH}/workerhealth.py",
+        f"{DISPATCH}/soundness.py",
         "FAILURES_BEFORE_TRIAL = 3",
         "FAILURES_BEFORE_TRIAL = 1_000_000",
     ),
@@ -69,7 +69,7 @@
     ),
     SourceChange(
         "tasks given back by a worker that drags",
-        f"{DISPATCH}/workerhealth.py",
+        f"{DISPATCH}/soundness.py",
         "SLOWDOWN_FACTOR = 3.0",
         "SLOWDOWN_FACTOR = 1e9",
     ),
@@ -123,7 +123,7 @@
     ),
     SourceChange(
         "short looks after one without an answer",
-        f"{DISPATCH}/agentpolls.py",
+        f"{DISPATCH}/agentlooks.py",
         "SHORT_POLLS_SECONDS = 1.0",
         "SHORT_POLLS_SECONDS = 0.0",
     ),
