--- a/src/cactuswalk/decisions/__init__.py
+++ b/src/cactuswalk/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions under load, without network, clock or randomness of their own.
+"""Scheduling decisions, independent of network, clock and random source.
 
-Each module is imported by its own name: the dispatch programs need one of them, and
-would start a tenth of a second of processor time later with all.
+Import each module by its own name: the dispatch programs need only one of them, and
+importing all of them would add a tenth of a second of CPU time to their start.
 """
--- a/src/cactuswalk/decisions/admission.py
+++ b/src/cactuswalk/decisions/admission.py
@@ -1,18 +1,20 @@
-"""Take a job only if it can be answered in time; else refuse it at once.
-
-Load pattern: lasting overload, or a burst of ten times the capacity. Without this
-the queue grows until everything in it is answered too late: slots work for callers
-who have given up, and useful throughput collapses while the machines are busy.
-
-The time until a job would be answered is reckoned from the work that is queued and
-the slots that drain it, in three ways: behind everything; behind its own team's
-backlog at the rate that the team is given; behind its own caller's at the caller's
-part of that. The least of them holds, since the fair share keeps it: a light team is
-not refused for the flood of another, and a heavy one is not told of slots that others
-will take. In a peak that passes (see ``overload``) everyone who is admitted is hurried
-when their deadline comes near, and only the whole backlog counts. A job that can't be
-answered by its deadline is refused with the time after which the same reckoning would
-have let it in.
+"""Admission control: accept a job only if it can be answered by its deadline.
+
+Load pattern: sustained overload, or a burst of ten times the capacity. Without
+admission control the queue grows until every job in it is answered too late: slots work
+for callers who have given up, and useful throughput collapses while the machines are
+busy.
+
+The wait is predicted from the queued work and the slots that drain it, in three ways:
+behind the whole backlog; behind the team's own backlog at the rate that the team is
+served; and behind the caller's own backlog at the caller's part of that rate. The
+smallest of the three applies, because the fair share guarantees it: a light team is not
+refused because another floods the queue, and a heavy team is not promised slots that
+others will take.
+
+In a short peak (see ``overload``) every admitted job becomes urgent when its deadline
+comes near, so only the whole backlog counts. A job that can't be answered by its
+deadline is refused with the delay after which the same prediction would admit it.
 """
 
 import math
@@ -23,45 +25,47 @@
 
 __all__ = ["Backlog", "WaitMargin", "check_admission", "retry_after_ms"]
 
-# The reckoned time in the queue counts this many times, at least and at most.
+# Bounds of the factor that the predicted wait is multiplied by.
 MIN_WAIT_MARGIN = 2.0
 MAX_WAIT_MARGIN = 10.0
 INITIAL_WAIT_MARGIN = 2.0
 
-# In a peak: whoever is nearest to the deadline is hurried, so that only the sum of the
-# queued work counts, and that is expected without a bias.
+# In a peak the job with the nearest deadline goes first, so only the sum of the queued
+# work matters, and that sum is estimated without bias.
 PEAK_WAIT_MARGIN = 1.0
 
-# One admitted job in fifty may wait longer than was reckoned with the margin, and
-# the margin moves by up to a twentieth for each. A job that has to be shed in the
-# queue moves it by a tenth: that refusal comes seconds late.
+# Target: one admitted job in fifty waits longer than predicted with the margin. Each
+# job moves the margin by up to 5%. A job that is shed from the queue moves it by 10%,
+# because that refusal reaches its caller seconds late.
 TARGET_UNDERESTIMATED_PART = 0.02
 MARGIN_STEP = 0.05
 SHED_MARGIN_STEP = 0.1
 
-# A reckoned wait below this, a few messages and a fraction of a run time, says
-# nothing about the margin.
+# A shorter predicted wait amounts to a few messages and a fraction of a run time, and
+# tells nothing about the margin.
 MIN_WAIT_TO_LEARN_SECONDS = 0.1
 
-# A task is given up as hopeless only if less than this part of its expected run
-# time is left: with heavy-tailed run times most tasks are shorter than the mean.
+# A task counts as unable to meet its deadline only if less than this part of its
+# expected run time is left: with heavy-tailed run times most tasks are shorter than the
+# mean.
 MIN_RUN_TIME_PART = 0.5
 
 
 class WaitMargin(msgspec.Struct):
-    """Learns by how much the reckoned time in the queue falls short.
+    """Learns by what factor the predicted wait is too short.
 
-    Who is overtaken, how wrong declarations are and how fast the slots drain can't
-    be known beforehand. So the margin grows with each admitted job that waited
-    longer than reckoned with it, or had to be shed, and shrinks with the others,
-    such that one in fifty waits longer (stochastic approximation of a percentile).
+    Overtaking by other jobs, errors of declared run times and the drain rate can't be
+    known beforehand. The factor grows with each admitted job that waited longer than
+    predicted or was shed, and shrinks with each other job, so that one in fifty waits
+    longer (stochastic approximation of a percentile).
     """
 
     factor: float = INITIAL_WAIT_MARGIN
 
     def record_start(self, waited: float, predicted_wait: float) -> None:
-        """Take note of an admitted job whose last task has a slot now.
+        """Update the margin for an admitted job whose last task now has a slot.
 
+        :param waited: in seconds.
         :param predicted_wait: without the margin, in seconds.
         """
         if predicted_wait < MIN_WAIT_TO_LEARN_SECONDS:
@@ -72,30 +76,37 @@
             self.adjust(-MARGIN_STEP * TARGET_UNDERESTIMATED_PART)
 
     def record_shed(self) -> None:
-        """Take note of an admitted job that became hopeless in the queue."""
+        """Update the margin for an admitted job that was shed from the queue."""
         self.adjust(SHED_MARGIN_STEP)
 
     def adjust(self, step: float) -> None:
-        """Move the margin by a small part of itself, within its bounds."""
+        """Change the margin by a relative step, within its bounds."""
         moved = self.factor * (1 + step)
         self.factor = min(MAX_WAIT_MARGIN, max(MIN_WAIT_MARGIN, moved))
 
 
 class Backlog(msgspec.Struct, frozen=True):
-    """What a job would find, in slot seconds of expected work.
-
-    :param slots: that can take this job's tasks; none busy is not assumed.
-    :param team_rate: slot seconds that the team is given per second while it
-        waits, None if it has not waited long.
-    :param guaranteed_team: part of the slots that the team has when all queue.
+    """The queue that a new job would join, in slot seconds of expected work.
+
+    :param slots: slots that can take this job's tasks; 0 if enough of them are idle for
+        the whole job.
+    :param total_seconds: queued work of the service.
+    :param team_seconds: queued work of the job's team.
+    :param caller_seconds: queued work of the job's caller.
+    :param team_rate: slot seconds per second that the team is served while it waits,
+        None if it has not waited long enough to tell.
+    :param guaranteed_team: part of the slots that the team gets when all teams have
+        work queued.
+    :param guaranteed_caller: part of the team's slots that the caller gets when all its
+        callers have work queued.
     :param maximum_running: the team's quota, None for no limit.
-    :param constrained_wait: reckoned wait for the few workers that can take the job, if
-        it needs memory or accelerators; 0 otherwise.
     :param job_seconds: work of the job itself.
-    :param mean_seconds: run time of the service's tasks.
-    :param longest_seconds: expected run time of its longest task, in seconds.
-    :param margin: by which the reckoned time has lately fallen short.
-    :param sustained: the service is in an overload that stays, see ``overload``.
+    :param longest_seconds: expected run time of the job's longest task.
+    :param mean_seconds: mean run time of the service's tasks.
+    :param constrained_wait: predicted wait in seconds for the few workers that can take
+        a job which needs memory or accelerators; 0 for other jobs.
+    :param margin: factor by which waits have lately exceeded their prediction.
+    :param sustained: the service is in a sustained overload, see ``overload``.
     """
 
     slots: int
@@ -115,13 +126,14 @@
 
     @property
     def wait(self) -> float:
-        """Return the time until the last task has a slot, in seconds."""
+        """Return the predicted seconds until the job's last task has a slot."""
         if self.slots == 0:
             return self.margin * self.constrained_wait
         rate = self.slots * self.guaranteed_team
         behind_all = (self.total_seconds + self.job_seconds) / self.slots
         if self.sustained and self.team_rate is not None:
-            # What the team gets is known, so what it might get does not count.
+            # The rate at which the team is served is known, so the rate that it might
+            # get does not count.
             rate = max(rate, self.team_rate)
             behind_all = math.inf
         behind_team = (self.team_seconds + self.job_seconds) / rate
@@ -134,7 +146,7 @@
 
     @property
     def quota_wait(self) -> float:
-        """Return the time that the team's own limit makes it wait."""
+        """Return the predicted seconds that the team's own quota makes it wait."""
         if self.maximum_running is None:
             return 0.0
         predicted_wait = (self.team_seconds + self.job_seconds) / max(
@@ -146,11 +158,11 @@
 def check_admission(
     backlog: Backlog, remaining: float, jitter: float
 ) -> Refusal | None:
-    """Return why a job is refused, None if it is taken.
+    """Return why a job is refused, None if it is admitted.
 
-    :param remaining: until the caller's deadline, in seconds.
-    :param jitter: drawn from 0 to 1, so that refused callers don't return
-        together.
+    :param remaining: seconds until the caller's deadline.
+    :param jitter: drawn from 0 to 1, so that refused callers don't retry at the same
+        moment.
     """
     min_run_seconds = backlog.longest_seconds * MIN_RUN_TIME_PART
     if min_run_seconds > remaining:
@@ -160,7 +172,7 @@
             f"and {max(0.0, remaining):.3f} s are left",
         )
     if backlog.maximum_running == 0:
-        return Refusal(RefusalCode.QUOTA_EXCEEDED, "the team's quota is no task at all")
+        return Refusal(RefusalCode.QUOTA_EXCEEDED, "the team's quota is 0 tasks")
     late_by_quota = seconds_late(backlog.quota_wait, min_run_seconds, remaining)
     if late_by_quota > 0 and backlog.maximum_running is not None:
         return Refusal(
@@ -181,13 +193,14 @@
 
 
 def seconds_late(wait: float, run: float, remaining: float) -> float:
-    """Return how much too long the queue is, in seconds of draining."""
+    """Return by how many seconds the job would miss its deadline."""
     return wait + run - remaining
 
 
 def retry_after_ms(late_by: float, mean: float, jitter: float) -> int:
-    """Return when to come back: the queue drains a second of work a second.
+    """Return the delay after which a refused caller may retry.
 
-    And a run time later, since nothing drains before some task has ended.
+    The queue drains one second of wait per second. One mean run time is added, since no
+    slot is freed before some task has ended.
     """
     return int((late_by * (1 + jitter) + mean) * 1000)
--- a/src/cactuswalk/decisions/affinity.py
+++ b/src/cactuswalk/decisions/affinity.py
@@ -1,14 +1,14 @@
-"""Send work with the same key to the same worker, as long as that costs nothing.
+"""Key affinity: prefer the same worker for the same key while it is not overloaded.
 
-Load pattern: a specialised key (a depot, a kennel) whose data a worker has warm,
-and now and then one key that everybody asks for. Without affinity each worker
-warms up for each key. Without a bound, a hot key drowns its worker while the
-others idle.
+Load pattern: a specialised key (a depot, a kennel) whose data one worker has cached,
+and now and then one key that every caller requests. Without affinity each worker has to
+load the data of each key. Without a bound a hot key overloads its worker while the
+others are idle.
 
-Workers are ranked for a key by a hash of both (rendezvous hashing): nothing is
-remembered, a new owner finds the same ranking, and a worker that leaves moves only
-its own keys. The first ranked worker is taken that has a free slot and is loaded
-no more than the bound; waiting for a preferred worker never happens.
+Workers are ranked for a key by a hash of both (rendezvous hashing). It needs no state:
+a new owner computes the same ranking, and a worker that leaves moves only its own keys.
+The highest ranked worker that has a free slot and is within the load bound is chosen; a
+task never waits for a preferred worker.
 """
 
 import zlib
@@ -16,9 +16,9 @@
 
 __all__ = ["choose_preferred"]
 
-# A worker may be used for its keys up to this many times the mean load of the
-# free workers, plus one task: consistent hashing with bounded loads (Mirrokni,
-# Thorup, Zadimoghaddam 2016) shows a constant number of detours at 1.25.
+# The load of a preferred worker is at most this many times the mean load of the free
+# workers, plus one task. Consistent hashing with bounded loads (Mirrokni, Thorup,
+# Zadimoghaddam 2016) gives a constant number of detours at 1.25.
 LOAD_BOUND = 1.25
 
 
@@ -31,15 +31,18 @@
 
     @property
     def load(self) -> float:
-        """Return the part of its slots in use."""
+        """Return the used part of its slots."""
 
     @property
     def slots(self) -> int:
-        """Return its slots."""
+        """Return the number of its slots."""
 
 
 def choose_preferred(key: str, workers: list[RankedWorker]) -> RankedWorker | None:
-    """Return the first worker in the key's ranking that is within the bound."""
+    """Return the highest ranked worker for a key within the load bound.
+
+    None if no worker is within the bound.
+    """
     mean = sum(worker.load for worker in workers) / len(workers)
     within = [
         worker
@@ -50,5 +53,5 @@
 
 
 def rank(key: str, worker: str) -> int:
-    """Return the place of a worker for a key; greater is better."""
+    """Return the rank of a worker for a key; the highest is preferred."""
     return zlib.crc32(f"{key}/{worker}".encode())
--- a/src/cactuswalk/decisions/binding.py
+++ b/src/cactuswalk/decisions/binding.py
@@ -1,4 +1,4 @@
-"""Fill free slots from the queue, and clear the queue of what is hopeless."""
+"""Assign queued tasks to free slots and shed jobs that can't meet their deadline."""
 
 from cactuswalk.decisions import placement
 from cactuswalk.decisions.budget import can_be_repeated
@@ -18,7 +18,7 @@
 def assign_service(
     cell: CellState, state: Service, now: float, decided: list[Assignment | Shed]
 ) -> None:
-    """Fill the free slots of a service in the order of its queue."""
+    """Fill the free slots of a service in queue order."""
     lanes = [lane for lane in state.lanes.values() if lane.queued]
     while lanes:
         best = select_lane(cell, state, lanes)
@@ -48,7 +48,7 @@
 
 
 def has_room(cell: CellState, state: Service, lane: Lane) -> bool:
-    """Return whether a task of a lane could find a slot at all."""
+    """Return whether any slot can take a task of this lane."""
     group = cell.pool.group(lane.key.service, lane.key.selector)
     if not group.open or not lane.queued:
         return False
@@ -88,7 +88,7 @@
 
 
 def worker_reserved_for_others(state: Service, queued: QueuedJob) -> Worker | None:
-    """Return the worker that is kept for another job than this one."""
+    """Return the worker that is reserved for another job than this one."""
     reservation = state.reservation
     if reservation is None:
         return None
@@ -101,7 +101,7 @@
 def shed_late_jobs(
     cell: CellState, state: Service, now: float, decided: list[Assignment | Shed]
 ) -> None:
-    """Refuse the jobs that can't be answered in time any more; hurry others."""
+    """Shed jobs that can't be answered in time; mark jobs that have become urgent."""
     for queued in state.deadlines.pop_urgent(now):
         queued.urgent = True
         for lane in queued.pending:
@@ -114,12 +114,12 @@
 
 
 def late_refusal(cell: CellState, queued: QueuedJob, now: float) -> Refusal:
-    """Return why a queued job will not be answered in time."""
+    """Return the refusal of a queued job that will miss its deadline."""
     job = queued.job
     group = cell.pool.group(job.service, job.selector)
     waiting = [lane.peek_task(queued) for lane in queued.pending]
     if any(cell.slots_for(job, job.tasks[index]) == 0 for index in waiting):
-        message = f"no worker of {job.service} that fits it was able to take it"
+        message = f"no worker of {job.service} that can run it was available"
         return Refusal(RefusalCode.NO_WORKER_NOW, message, RETRY_MS)
     state = cell.service(job.service)
     drain_ms = int(state.queued_seconds / group.slots * 1000)
@@ -132,7 +132,7 @@
 
 
 def drop_empty_lanes(cell: CellState, state: Service) -> None:
-    """Forget lanes that nothing uses, and the groups of their selectors."""
+    """Delete lanes without queued or running tasks, and unused selector groups."""
     empty = [key for key, lane in state.lanes.items() if not lane.queued]
     for key in empty:
         if state.lanes[key].running == 0:
--- a/src/cactuswalk/decisions/cellstate.py
+++ b/src/cactuswalk/decisions/cellstate.py
@@ -1,4 +1,4 @@
-"""The state that the decisions of one cell share, and its bookkeeping."""
+"""State that the scheduling decisions of one cell share, and its bookkeeping."""
 
 from cactuswalk.decisions.ejection import PeerHealth, is_worker_at_fault
 from cactuswalk.decisions.fitting import DepartedWorkers, misfit_reason
@@ -14,6 +14,8 @@
 class CellState:
     """Workers, services and jobs of a cell.
 
+    :param order: the order of jobs with the same fair-share level.
+    :param jobs_opened: number of jobs so far; breaks ties in the order.
     :param hedgeable: running requests that may be hedged, oldest first.
     """
 
@@ -27,7 +29,7 @@
         self.hedgeable: dict[str, tuple[Worker, RunningTask]] = {}
 
     def new_queued_job(self, job: Job, queued_at: float, deadline: float) -> QueuedJob:
-        """Return the entry of a job, with nothing queued yet."""
+        """Return the scheduler's record of a job, with nothing queued yet."""
         state = self.service(job.service)
         expected = [state.durations.predict(task.duration_ms) for task in job.tasks]
         slots = self.pool.group(job.service, job.selector).slots
@@ -45,7 +47,7 @@
         return queued
 
     def slots_for(self, job: Job, spec: TaskSpec) -> int:
-        """Return the slots that could hold tasks like this one at a time."""
+        """Return how many tasks with this spec the workers can run at once."""
         group = self.pool.group(job.service, job.selector)
         if not spec.memory_mb and not spec.accelerators:
             return group.slots
@@ -56,9 +58,9 @@
         )
 
     def constrained_wait(self, queued: QueuedJob) -> float:
-        """Return the wait for workers that have what a job's tasks need.
+        """Return the predicted wait for workers with the resources a job needs.
 
-        Most tasks need nothing special, and then it is none.
+        It is 0 for most jobs, which need no memory or accelerators.
         """
         constrained: dict[Lane, TaskSpec] = {}
         own: dict[Lane, float] = {}
@@ -77,7 +79,7 @@
         return max(waits)
 
     def withdraw(self, queued: QueuedJob) -> list[int]:
-        """Take all queued tasks of a job out of their lanes."""
+        """Remove all queued tasks of a job from their lanes; return their indexes."""
         state = self.service(queued.job.service)
         taken = []
         for lane in list(queued.pending):
@@ -88,7 +90,7 @@
         return sorted(taken)
 
     def forget_if_done(self, queued: QueuedJob) -> None:
-        """Forget a job that has nothing queued and nothing running."""
+        """Delete the record of a job that has nothing queued and nothing running."""
         if queued.queued == 0 and queued.running == 0:
             self.jobs.pop(queued.job.submission, None)
 
@@ -100,7 +102,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Correct what is expected of the service and of the worker."""
+        """Update the service's estimates and the worker's health from a success."""
         spec = task.owner.job.tasks[task.index]
         relative = seconds / max(0.001, state.durations.predict(spec.duration_ms))
         worker.health.record_success(relative, worker.slots, now)
@@ -108,7 +110,7 @@
         state.high_percentile.observe(seconds)
 
     def attribute_failure(self, worker: Worker, task: RunningTask, now: float) -> None:
-        """Hold a failed task against its worker, unless its caller brought it about."""
+        """Count a failure against its worker, unless the caller caused it."""
         queued: QueuedJob = task.owner
         held = now - task.started_at
         if is_worker_at_fault(
@@ -118,7 +120,7 @@
             worker.health.record_failure(name, self.peer_health(worker, now), now)
 
     def peer_health(self, worker: Worker, now: float) -> PeerHealth:
-        """Return how the other workers of a service are doing."""
+        """Return the health of the other workers of the same service."""
         service = worker.announcement.service
         peers = [
             peer
@@ -132,12 +134,12 @@
         return PeerHealth(failure_rate, (ejected + 1) / (len(peers) + 1))
 
     def start_task(self, worker: Worker, task: RunningTask, now: float) -> None:
-        """Let a task hold its slot."""
+        """Assign a task to a slot of a worker."""
         self.pool.occupy(worker, task.owner.job.submission, task)
         self.refresh_capacity(worker, now)
 
     def release(self, worker: Worker, submission: str, index: int, now: float) -> None:
-        """Take back what a task held, and pay for what it used."""
+        """Release a task's slot and charge the time that it used."""
         task = self.pool.release(worker, submission, index)
         if task is None:
             return
@@ -149,12 +151,12 @@
         self.refresh_capacity(worker, now)
 
     def refresh_capacity(self, worker: Worker, now: float) -> None:
-        """Reckon again what a worker can take."""
+        """Update how many slots a worker offers."""
         state = self.service(worker.announcement.service)
         self.pool.refresh(worker, state.durations.mean, now)
 
     def service(self, name: str) -> Service:
-        """Return the state of a service, new if the name is new."""
+        """Return the state of a service; create it if the name is new."""
         known = self.services.get(name)
         if known is None:
             known = self.services[name] = Service.empty(name)
@@ -162,7 +164,7 @@
 
 
 def slots_for_spec(worker: Worker, spec: TaskSpec) -> int:
-    """Return how many tasks like this one a worker holds when it has no others."""
+    """Return how many tasks with this spec an otherwise empty worker can run."""
     capacity = worker.announcement.capacity
     slots = worker.usable_slots
     if spec.memory_mb and capacity.memory_mb:
--- a/src/cactuswalk/decisions/damping.py
+++ b/src/cactuswalk/decisions/damping.py
@@ -1,13 +1,14 @@
-"""Hold back a worker that dies and comes back over and over.
+"""Flap damping: suppress a worker that repeatedly dies and returns.
 
-Load pattern: a host reboots in a loop, or its agent is killed again and again for
-want of memory. Each life is new to the owner, begins on trial, earns its slots within
-a second or two under load, and takes with it what runs when it dies. Callers of tasks
-that may not run twice are told ``unknown`` each time.
+Load pattern: a host reboots in a loop, or its agent is killed for lack of memory again
+and again. Each new process starts on trial, is given all its slots within a second or
+two under load, and loses its running tasks when it dies. Callers of tasks that may not
+run twice get the outcome ``unknown`` each time.
 
-Flap damping as routers do it (RFC 2439): each death adds one to a penalty that halves
-with time, and above a bound the worker gets nothing until the penalty has decayed. A
-replacement or a crash now and then is never held back. A planned stop is no death.
+As in route flap damping (RFC 2439), each death adds one to a penalty that decays
+exponentially. Above a bound the worker is suppressed until the penalty has decayed. An
+occasional replacement or crash is never suppressed, and a planned stop doesn't count as
+a death.
 """
 
 import math
@@ -16,44 +17,44 @@
 
 __all__ = ["FlapDamping"]
 
-# The third death within a minute or two holds a worker back. 85 of 8,300 hosts fail
-# on the target's ordinary day, so that two in this time are no chance.
+# The third death within a minute or two suppresses a worker. On the target's ordinary
+# day 85 of 8,300 hosts fail, so two deaths in this time are not a coincidence.
 HALF_LIFE_SECONDS = 60.0
 SUPPRESS_ABOVE = 2.0
 REUSE_AT = 1.0
 
-# The longest hold is that of an ejection, five minutes.
+# Limits suppression to five minutes, as long as the longest ejection.
 MAX_PENALTY = 32.0
 
-# A penalty that is below this is that of one death five half-lives ago.
+# What is left of one death's penalty after five half-lives.
 FORGET_BELOW = 1 / 32
 
 
 class FlapDamping(msgspec.Struct):
-    """The penalties of a cell's workers, each as it was at its last death."""
+    """The penalties of a cell's workers, each as of the worker's last death."""
 
     penalties: dict[str, tuple[float, float]] = msgspec.field(default_factory=dict)
 
     def penalty(self, worker: str, now: float) -> float:
-        """Return what is left of a worker's penalty."""
+        """Return the current, decayed penalty of a worker."""
         penalty, died_at = self.penalties.get(worker, (0.0, now))
         return penalty * 0.5 ** ((now - died_at) / HALF_LIFE_SECONDS)
 
     def record_death(self, worker: str, now: float) -> None:
-        """Take note that a life of a worker has ended, and not as planned."""
+        """Record that a worker has died without a planned stop."""
         penalty = min(MAX_PENALTY, self.penalty(worker, now) + 1)
         self.penalties[worker] = (penalty, now)
         self._forget(now)
 
     def suppressed_until(self, worker: str, now: float) -> float:
-        """Return until when a worker that is back gets nothing; now if it may."""
+        """Return until when a worker is suppressed; ``now`` if it is not."""
         penalty = self.penalty(worker, now)
         if penalty < SUPPRESS_ABOVE:
             return now
         return now + HALF_LIFE_SECONDS * math.log2(penalty / REUSE_AT)
 
     def _forget(self, now: float) -> None:
-        """Drop what no longer counts: names of workers come and go for ever."""
+        """Delete decayed penalties, since new worker names appear without end."""
         for worker in list(self.penalties):
             if self.penalty(worker, now) < FORGET_BELOW:
                 del self.penalties[worker]
--- a/src/cactuswalk/decisions/ejection.py
+++ b/src/cactuswalk/decisions/ejection.py
@@ -1,20 +1,19 @@
-"""Keep work away from a worker that fails, hangs or drags, and try it again.
-
-Load pattern: a worker fails everything within a millisecond. Its slots are always
-free, so whoever sends work to the least loaded worker sends it nearly everything:
-a black hole. Another freezes, or turns ten times slower, and every large job has
-one task there that holds up its answer. Without this, one bad worker of eleven
-decides what most callers receive.
-
-A worker is ejected after a run of failures from several jobs, a longer one the more
-often the others fail as well; where they mostly fail it is the requests or something
-behind all of them, and ejecting would only take capacity away. What a caller brings
-about, by cancelling or by a deadline that was too tight, does not count.
-
-An ejected worker comes back on trial, with one slot, and earns a slot with each
-success (slow start: a cold worker is not flooded). A failure on trial sends it away
-for twice as long. One that hangs gets nothing new until something ends there; one
-that drags keeps a single slot, as a probe.
+"""Ejection of workers that fail, hang or are slow, and their gradual return.
+
+Load pattern: a worker fails every task within a millisecond. Its slots are always free,
+so a least-loaded policy sends nearly all work to it (a black hole). Another worker
+freezes, or becomes ten times slower, and every large job has one task there that delays
+its answer. Without ejection one bad worker of eleven decides what most callers receive.
+
+A worker is ejected after consecutive failures from several jobs. The more often its
+peers fail, the more failures are needed; if the peers mostly fail, the cause is the
+requests or a shared dependency, and ejection would only reduce capacity. Failures that
+a caller causes, by cancelling or by too short a deadline, don't count.
+
+An ejected worker returns on trial with one slot and gains a slot with each success
+(slow start, so that a cold worker is not overloaded). A failure on trial ejects it for
+twice as long. A hung worker gets nothing new until one of its tasks ends. A slow worker
+keeps one slot as a probe.
 """
 
 import math
@@ -23,53 +22,53 @@
 
 __all__ = ["MAX_EJECTED_PART", "Health", "PeerHealth", "is_worker_at_fault"]
 
-# A run of failures ejects if it would come by chance less than once in so many tasks,
-# were the worker no worse than the others. And at least the second figure, since the
-# others' rate is known only roughly.
+# Consecutive failures eject a worker if a worker that is no worse than its peers would
+# show them less than once in 1 / MAX_CHANCE_PROBABILITY tasks. MIN_FAILURES_TO_EJECT
+# applies as well, since the peers' failure rate is known only roughly.
 MAX_CHANCE_PROBABILITY = 1e-5
 MIN_FAILURES_TO_EJECT = 5
 
-# They must come from this many jobs: one job whose tasks all fail says something
-# about the job.
+# The failures must come from this many jobs: if all tasks of one job fail, the job may
+# be the cause.
 MIN_JOBS_TO_EJECT = 3
 
-# Others failing more often than this means that the worker is not the cause.
+# If peers fail more often than this, the worker is not the cause.
 MAX_PEER_FAILURE_RATE = 0.5
 
-# Below this rate of failures elsewhere, one failure on trial is enough.
+# If peers fail less often than this, one failure on trial ejects the worker again.
 RARE_FAILURE_RATE = 0.1
 
-# At most this part of a service's workers may be ejected at a time. A rack of
-# today is 3 of 11 workers.
+# At most this part of a service's workers is ejected at a time. A rack of today holds 3
+# of 11 workers.
 MAX_EJECTED_PART = 0.34
 
-# Time away: doubles with each failed trial. The first lets a restart pass; the
-# last costs one failed task in five minutes.
+# The ejection time doubles with each failed trial. The first covers a restart; the
+# longest costs one failed task in five minutes.
 MIN_EJECTION_SECONDS = 5.0
 MAX_EJECTION_SECONDS = 300.0
 
-# Weight of an outcome in a worker's failure rate and relative run time: a memory
-# of some 16 tasks, two rounds of its 8 slots.
+# Weight of one outcome in a worker's failure rate and relative run time: an average
+# over some 16 tasks, two rounds of its 8 slots.
 OUTCOME_GAIN = 1 / 16
 
-# A worker drags when its tasks take this many times what was expected of them, and
-# has recovered below the lower bound. Heavy-tailed run times with a deviation as
-# large as the mean put the average of 16 within 1.75 in all but 0.1% of cases.
+# A worker is slow when its tasks take SLOW_RATIO times their expected run time, and has
+# recovered below RECOVERED_RATIO. With heavy-tailed run times whose deviation equals
+# the mean, the average of 16 is within 1.75 in all but 0.1% of cases.
 SLOW_RATIO = 4.0
 RECOVERED_RATIO = 2.0
 MIN_TASKS_TO_JUDGE_SPEED = 8
 
-# A worker hangs when it runs at least two tasks and none has ended for this many
-# times the mean run time, and at least the brief's "several seconds".
+# A worker is hung when it runs at least two tasks and none has ended for this many mean
+# run times, and at least the brief's "several seconds".
 HANG_RUN_TIMES = 10.0
 MIN_HANG_SECONDS = 3.0
 
-# A failure this close to the deadline was brought about by it: an agent gives up a
-# call at the deadline, and its word takes a message to come.
+# A failure this close to the deadline was caused by it: an agent gives up a call at the
+# deadline, and its report takes a message to arrive.
 DEADLINE_TOLERANCE_SECONDS = 0.1
 
-# Pause after repeated declines: doubles from the second in a row. A worker whose
-# agent declines at once would otherwise be offered the same task at full speed.
+# Pause after consecutive declines, doubled from the second one on. Without it, a worker
+# whose agent declines at once would be offered the same task in a tight loop.
 MIN_PAUSE_SECONDS = 0.05
 MAX_PAUSE_SECONDS = 5.0
 
@@ -77,13 +76,14 @@
 def is_worker_at_fault(
     cancelled: bool, held: float, expected: float, deadline: float, now: float
 ) -> bool:
-    """Return whether a failed task speaks against its worker.
+    """Return whether a failed task counts against its worker.
 
-    A caller that cancels, or leaves too little time, makes tasks fail on every
-    worker; in a cancellation wave all of them would be ejected for it.
+    A caller that cancels, or leaves too little time, makes tasks fail on every worker;
+    a wave of cancellations would eject all of them.
 
+    :param cancelled: the caller has cancelled the job.
     :param held: how long the task held its slot, in seconds.
-    :param expected: how long it was expected to, in seconds.
+    :param expected: its expected run time, in seconds.
     """
     if cancelled:
         return False
@@ -92,10 +92,11 @@
 
 
 class PeerHealth(msgspec.Struct):
-    """What the others of the service look like when a worker is judged.
+    """State of a service's other workers when one worker is judged.
 
     :param peer_failure_rate: mean failure rate of the other workers.
-    :param ejected_part: of the service's workers, were this one ejected too.
+    :param ejected_part: part of the service's workers that would be ejected if this one
+        were ejected too.
     """
 
     peer_failure_rate: float
@@ -103,10 +104,16 @@
 
 
 class Health(msgspec.Struct, eq=False):
-    """What is known of a worker's health.
-
-    :param trial_slots: slots that it may use while it is on trial; None for all.
-    :param relative_run_time: its run times relative to what was expected of them.
+    """Health of one worker.
+
+    :param failures: consecutive failures.
+    :param failed_jobs: submissions that these failures came from.
+    :param failure_rate: moving average.
+    :param relative_run_time: moving average of run time over expected run time.
+    :param observed_tasks: tasks in ``relative_run_time``.
+    :param trial_slots: slots that it may use while on trial; None for all.
+    :param declines: consecutive declined starts.
+    :param last_end: when a task last ended there.
     """
 
     failures: int = 0
@@ -124,11 +131,11 @@
 
     @property
     def is_on_trial(self) -> bool:
-        """Return whether the worker still has to prove itself."""
+        """Return whether the worker has only part of its slots after a return."""
         return self.trial_slots is not None
 
     def unavailable_reason(self, now: float) -> str:
-        """Return why the worker gets nothing now, an empty text if it may."""
+        """Return why the worker gets no tasks now, an empty text if it may."""
         if now < self.ejected_until:
             return f"ejected for {self.ejected_until - now:.1f} s more"
         if now < self.paused_until:
@@ -144,18 +151,22 @@
     def is_hung(
         self, running: int, oldest_start: float, mean: float, now: float
     ) -> bool:
-        """Return whether nothing has ended for suspiciously long."""
+        """Return whether no task has ended for suspiciously long."""
         if running < 2:
             return False
         silent = now - max(self.last_end, oldest_start)
         return silent > max(MIN_HANG_SECONDS, HANG_RUN_TIMES * mean)
 
     def begin_trial(self) -> None:
-        """Start with one slot; successes earn the others."""
+        """Limit the worker to one slot; each success adds one."""
         self.trial_slots = 1
 
     def record_success(self, relative_time: float, slots: int, now: float) -> None:
-        """Take note of a success that took so many times what was expected."""
+        """Record a success.
+
+        :param relative_time: its run time divided by the expected run time.
+        :param slots: all slots of the worker.
+        """
         self.failures = 0
         self.failed_jobs.clear()
         self.failure_rate -= OUTCOME_GAIN * self.failure_rate
@@ -175,7 +186,7 @@
                 self.ejections = 0
 
     def record_failure(self, submission: str, peers: PeerHealth, now: float) -> bool:
-        """Take note of a failure; return whether the worker is now ejected."""
+        """Record a failure; return whether the worker is now ejected."""
         self.failures += 1
         self.last_end = now
         self.failure_rate += OUTCOME_GAIN * (1 - self.failure_rate)
@@ -191,17 +202,17 @@
         return True
 
     def has_failed_often(self, peers: PeerHealth) -> bool:
-        """Return whether failures in a row, of enough jobs, speak against it."""
+        """Return whether enough consecutive failures came from enough jobs."""
         if len(self.failed_jobs) < MIN_JOBS_TO_EJECT:
             return False
         return self.failures >= failures_to_eject(peers.peer_failure_rate)
 
     def has_failed_trial(self, peers: PeerHealth) -> bool:
-        """Return whether a worker on trial has failed more than others do."""
+        """Return whether a worker on trial has failed while its peers rarely do."""
         return self.is_on_trial and peers.peer_failure_rate < RARE_FAILURE_RATE
 
     def eject(self, now: float) -> None:
-        """Send the worker away, longer each time, to return on trial."""
+        """Eject the worker, longer each time; it returns on trial."""
         duration = MIN_EJECTION_SECONDS * 2 ** min(self.ejections, 10)
         self.ejected_until = now + min(MAX_EJECTION_SECONDS, duration)
         self.ejections += 1
@@ -210,7 +221,7 @@
         self.begin_trial()
 
     def record_decline(self, now: float) -> None:
-        """Take note of a start that was declined."""
+        """Record a declined start."""
         self.declines += 1
         if self.declines < 2:
             return
@@ -219,7 +230,10 @@
 
 
 def failures_to_eject(peer_failure_rate: float) -> int:
-    """Return how many failures in a row are no chance, given the others' rate."""
+    """Return how many consecutive failures are not explained by chance.
+
+    :param peer_failure_rate: failure rate that chance alone would give.
+    """
     rate = min(MAX_PEER_FAILURE_RATE, max(1e-3, peer_failure_rate))
     by_chance = math.ceil(math.log(MAX_CHANCE_PROBABILITY) / math.log(rate))
     return max(MIN_FAILURES_TO_EJECT, by_chance)
--- a/src/cactuswalk/decisions/estimation.py
+++ b/src/cactuswalk/decisions/estimation.py
@@ -1,15 +1,15 @@
-"""Correct declared run times and sizes by what is observed, with a lag.
-
-Load pattern: callers declare run times that are ten times wrong, or none; usage
-reports are late. Without this, a queue looks ten times longer than it is, and
-everything is refused while slots stand idle, or ten times shorter, and work is
-accepted that can't be answered in time.
-
-A declared time is read on a logarithmic scale against what callers declare on the
-whole, and counts only as far as it has lately told long tasks from short ones: the
-slope of a running regression. If all callers are wrong by the same factor, the
-factor drops out; if declarations carry no information, the slope goes to zero and
-the mean run time is left.
+"""Correct declared run times and memory sizes by observation.
+
+Load pattern: callers declare run times that are off by a factor of ten, or none; usage
+reports arrive late. Without correction the queue looks ten times longer than it is, and
+everything is refused while slots are idle; or ten times shorter, and work is accepted
+that can't be answered in time.
+
+A declared time is compared on a logarithmic scale with what callers usually declare,
+and weighted by how well declarations have lately predicted run times: the slope of a
+running regression. If all callers are off by the same factor, the factor cancels out.
+If declarations carry no information, the slope goes to zero and the mean run time
+remains.
 """
 
 import math
@@ -18,31 +18,31 @@
 
 __all__ = ["DurationEstimate", "SizeEstimate"]
 
-# Before anything is observed: the middle of the brief's 50 ms to 1 s, on its
-# logarithmic scale (223 ms), and a mean above it for the tail of several seconds.
+# Initial mean run time. The middle of the brief's 50 ms to 1 s on a logarithmic scale
+# is 223 ms; the mean is above it because of the tail of several seconds.
 PRIOR_SECONDS = 0.3
 
-# Before anything is observed a declaration counts half, as if callers' errors were
-# as wide as the run times themselves.
+# Initially a declaration has a weight of one half, as if callers' errors varied as much
+# as the run times themselves.
 PRIOR_VARIANCE = 1.0
 PRIOR_COVARIANCE = 0.5
 
 # Weight of a new observation. 1/128 follows a change within about 128 tasks, half a
-# second at today's rates, and holds the sampling error of a mean whose deviation is
-# as large as itself near 6%.
+# second at today's rates, and keeps the sampling error of a mean whose deviation equals
+# the mean near 6%.
 GAIN = 1 / 128
 
-# Observations that the prior is worth.
+# Number of observations that the prior counts as.
 PRIOR_WEIGHT = 8
 
-# Declarations count as telling long from short above this part of the variance
-# explained: at a quarter, a task declared four times the mean is longer than the
-# mean in some two of three cases.
+# Declarations are informative if they explain more than this part of the variance. At a
+# quarter, a task declared four times the mean is longer than the mean in about two of
+# three cases.
 MIN_EXPLAINED_VARIANCE = 0.25
 
 
-# Of tasks that one queue runs, all of a kind: their run times, and what callers
-# declare, vary by some 40%, and a declaration tells half of a task's own part.
+# For a queue whose tasks are all of one kind: run times and declarations vary by some
+# 40%, and a declaration predicts half of a task's own deviation.
 UNIFORM_VARIANCE = 0.16
 UNIFORM_COVARIANCE = 0.08
 
@@ -50,7 +50,10 @@
 class DurationEstimate(msgspec.Struct):
     """Predicts the run times of one service's tasks, in seconds.
 
-    Centres, variances and the covariance are of logarithms of seconds.
+    Log means, variances and the covariance are of logarithms of seconds.
+
+    :param mean: moving average of run times, in seconds.
+    :param observed: number of tasks observed.
     """
 
     mean: float = PRIOR_SECONDS
@@ -63,11 +66,11 @@
 
     @classmethod
     def for_uniform_tasks(cls, declared_ms: int) -> "DurationEstimate":
-        """Return the estimate to begin with where all tasks are of one kind.
+        """Return the initial estimate for a queue whose tasks are of one kind.
 
-        The first declaration is the best that is known of them. A process that has
-        just started would otherwise take tasks of 1.8 s for such of 0.4 s, and
-        refuse them as soon as those could not be on time any more.
+        The first declaration is the best available estimate. Without it a process that
+        has just started would take tasks of 1.8 s for tasks of 0.4 s, and refuse them
+        only when they could not finish in time any more.
         """
         if declared_ms <= 0:
             return cls()
@@ -82,33 +85,33 @@
         )
 
     def predict(self, declared_ms: int) -> float:
-        """Return the run time to reckon with, in seconds."""
+        """Return the expected run time of a task, in seconds."""
         if declared_ms <= 0:
             return self.mean
         slope = self.slope
         distance = math.log(declared_ms / 1000) - self.declared_log_mean
-        # The mean of exp(slope * distance) over log-normal declarations; without
-        # it the predictions would be too long on average.
+        # The mean of exp(slope * distance) over log-normal declarations; without this
+        # term the predictions would be too long on average.
         spread = slope * slope * self.declared_variance / 2
         return self.mean * math.exp(slope * distance - spread)
 
     @property
     def slope(self) -> float:
-        """Return how far a declaration counts, from 0 to 1."""
+        """Return the weight of a declaration, from 0 to 1."""
         if self.declared_variance < 1e-6:
             return 0.0
         return min(1.0, max(0.0, self.covariance / self.declared_variance))
 
     @property
     def has_informative_declarations(self) -> bool:
-        """Return whether declared times have lately told long from short."""
+        """Return whether declared times have lately predicted run times."""
         variances = self.declared_variance * self.run_variance
         if variances < 1e-9 or self.covariance <= 0:
             return False
         return self.covariance**2 / variances > MIN_EXPLAINED_VARIANCE
 
     def observe(self, declared_ms: int, seconds: float) -> None:
-        """Learn from a task that succeeded."""
+        """Update the estimate from a task that succeeded."""
         seconds = max(seconds, 0.001)
         self.observed += 1
         gain = max(GAIN, 1 / (self.observed + PRIOR_WEIGHT))
@@ -126,8 +129,8 @@
         self.covariance += gain * (run_deviation * declared_deviation - self.covariance)
 
 
-# A reservation follows use upwards four times as fast as downwards: memory that
-# is missing kills tasks, memory that lies idle only delays some.
+# The estimate rises four times as fast as it falls: too little memory kills tasks,
+# while idle memory only delays some.
 SIZE_GAIN_UP = 1 / 8
 SIZE_GAIN_DOWN = 1 / 32
 MIN_SIZE_FACTOR = 0.25
@@ -135,7 +138,7 @@
 
 
 class SizeEstimate(msgspec.Struct):
-    """Corrects the declared memory of one service by late usage reports."""
+    """Corrects the declared memory of one service by usage reports."""
 
     factor: float = 1.0
 
@@ -144,7 +147,11 @@
         return declared_mb * self.factor
 
     def observe(self, declared_mb: int, used_mb: float) -> None:
-        """Learn from a report on a worker: what ran there had declared so much."""
+        """Update the factor from a worker's usage report.
+
+        :param declared_mb: declared memory of the tasks that ran there.
+        :param used_mb: memory that they used.
+        """
         if declared_mb <= 0:
             return
         ratio = used_mb / declared_mb
--- a/src/cactuswalk/decisions/explaining.py
+++ b/src/cactuswalk/decisions/explaining.py
@@ -1,4 +1,4 @@
-"""Say why a worker can or can't take a job, for operators."""
+"""Explain to operators why a worker can or can't take a job."""
 
 from cactuswalk.decisions.cellstate import CellState
 from cactuswalk.decisions.fitting import misfit_reason
@@ -12,7 +12,7 @@
 def explain_worker(
     cell: CellState, worker: Worker, job: Job, now: float
 ) -> Explanation:
-    """Say whether a worker could take the job's tasks, and why not now."""
+    """Return whether a worker can take the job's tasks, and if not now, why."""
     for spec in job.tasks:
         reason = misfit_reason(worker.announcement, job, spec)
         if reason:
--- a/src/cactuswalk/decisions/fairness.py
+++ b/src/cactuswalk/decisions/fairness.py
@@ -1,16 +1,17 @@
-"""Weighted fair share of slot time, per team and within it per caller.
+"""Weighted fair sharing of slot time between teams, and within a team between callers.
 
-Load pattern: one team or one caller sends many times its share (a client that
-loops, a depot that rebuilds every route at once). Without this, first come first
-served lets its backlog stand before everyone else's, and all wait as long as it.
+Load pattern: one team or caller sends many times its share (a client in a loop, a depot
+that recomputes every route at once). First come, first served would put its backlog
+ahead of everyone else's, and all would wait as long as it does.
 
 Each team has a virtual time that grows with the slot time it uses, divided by its
-weight; the queued team that is furthest behind goes first. While others have
-nothing queued a team may use every slot (its idle share is lent out), and it gives
-the share back with the next slot that comes free: one that wakes starts where the
-others are, and no one is owed for time spent idle. Callers share their team's part
-in the same way. Virtual times are compared in steps of a burst, so that ordinary
-traffic is ordered by the jobs' own order and only a real excess makes a team wait.
+weight; the queued team with the lowest virtual time goes first. A team may use every
+slot while others have nothing queued, and gives the slots back as they come free. A
+team that becomes active starts at the virtual time of the active ones, so no credit is
+earned for idle time. Callers share their team's part in the same way.
+
+Virtual times are compared in steps as long as a burst, so ordinary traffic follows the
+job order and only a real excess makes a team wait.
 """
 
 import math
@@ -19,32 +20,32 @@
 
 __all__ = ["MIN_WEIGHT", "Quota", "Share", "ShareTree"]
 
-# Virtual times are compared in steps of this many slot seconds; within a step the
-# jobs' own order decides. Measured in docs/design/decisions/fair-share.md: smaller
-# steps keep a light team or caller further from a flood, larger ones let a burst be
-# served in the jobs' order.
+# Virtual times are compared in steps of this many slot seconds; within a step the job
+# order decides. Measured in docs/design/decisions/fair-share.md: smaller steps isolate
+# a light team or caller better from a flood, larger ones let a burst be served in job
+# order.
 TEAM_STEP_SECONDS = 3.0
 CALLER_STEP_SECONDS = 1.0
 
-# What a team was given is looked at over about this time: some four mean run times,
-# so that it does not jump with each slot, and short against callers' deadlines.
+# Time constant of a team's drain rate. Some four mean run times, so that the rate
+# doesn't jump with each slot, and short compared with callers' deadlines.
 DRAIN_SECONDS = 1.0
 
-# A weight of zero would mean "never", which a limit of no running task says better.
+# A weight of zero would mean "never"; a limit of zero running tasks expresses that.
 MIN_WEIGHT = 0.01
 
-# Callers come and go by the million; above this many shares, or twice what was
-# left last time, those that are idle are dropped.
+# Callers come and go by the million. Idle shares are dropped above this number of
+# shares, or above twice the number left by the last sweep.
 MIN_SHARES_TO_SWEEP = 4096
 
 
 class Quota(msgspec.Struct, frozen=True):
-    """What a team is entitled to.
+    """The quota of a team.
 
-    :param weight: of its share against other teams that have work queued,
-        relative to 1.0, the weight of a team without a quota.
-    :param maximum_running: tasks at one time, also when slots are idle; None
-        for no limit.
+    :param weight: its weight against other teams that have work queued; 1.0 is the
+        weight of a team without a quota.
+    :param maximum_running: limit of concurrent tasks, even if slots are idle; None for
+        no limit.
     """
 
     weight: float = 1.0
@@ -52,15 +53,16 @@
 
 
 class Share(msgspec.Struct, eq=False):
-    """The use of slots by one team or one caller.
+    """Slot usage of one team or one caller.
 
+    :param step: see ``level``, in slot seconds.
     :param virtual_time: slot seconds used, divided by the weight.
-    :param correction: of earlier charges, once the true run times were known;
-        it is settled with the next charge, so that keys in heaps change only
-        when their member is being served.
-    :param queued_seconds: run time that is expected of what is queued.
+    :param correction: difference between charged and actual run times, applied with the
+        next charge, so that keys in heaps change only when their member is served.
+    :param queued_seconds: expected run time of the queued tasks.
     :param waiting_since: when it last had nothing queued.
-    :param drained: slot seconds started lately, see ``drain_rate``.
+    :param drained: recently started slot seconds, see ``drain_rate``.
+    :param drained_at: when ``drained`` was last updated.
     """
 
     name: str
@@ -77,22 +79,22 @@
 
     @property
     def level(self) -> int:
-        """Return the step that the virtual time is in."""
+        """Return the number of whole steps in the virtual time."""
         return int(self.virtual_time // self.step)
 
     @property
     def is_at_limit(self) -> bool:
-        """Return whether the team runs as much as it ever may."""
+        """Return whether the team runs as many tasks as its quota allows."""
         limit = self.quota.maximum_running
         return limit is not None and self.running >= limit
 
     @property
     def is_idle(self) -> bool:
-        """Return whether nothing is queued and nothing runs."""
+        """Return whether it has nothing queued and nothing running."""
         return self.queued == 0 and self.running == 0
 
     def record_drain(self, seconds: float, now: float) -> None:
-        """Count slot seconds that were started, of which older ones fade."""
+        """Add slot seconds that were started; earlier ones decay exponentially."""
         faded = math.exp(-(now - self.drained_at) / DRAIN_SECONDS)
         self.drained = self.drained * faded + seconds
         self.drained_at = now
@@ -100,7 +102,7 @@
     def drain_rate(self, now: float) -> float | None:
         """Return the slot seconds started per second while work is waiting.
 
-        None while it has not waited long enough to tell.
+        None if work has not waited long enough to tell.
         """
         waited = now - self.waiting_since
         if self.queued == 0 or waited < DRAIN_SECONDS:
@@ -110,7 +112,7 @@
         return self.drained * faded / (DRAIN_SECONDS * seen)
 
     def charge(self, seconds: float) -> None:
-        """Pay for a task that starts, and settle what was charged wrongly."""
+        """Charge for a task that starts, and apply the pending correction."""
         paid = (seconds + self.correction) / self.quota.weight
         self.virtual_time = max(0.0, self.virtual_time + paid)
         self.correction = 0.0
@@ -120,8 +122,9 @@
     """The shares of one service's teams, or of one team's callers.
 
     :param step: see ``Share.level``, in slot seconds.
-    :param head_start: steps that one which wakes starts ahead of the field; no
-        more, so that nobody saves up for a flood by being idle.
+    :param head_start: steps below the current virtual time (``field``) at which a newly
+        active share starts; it is limited, so that idle time can't be saved up for a
+        flood.
     """
 
     __slots__ = (
@@ -144,7 +147,7 @@
         self.sweep_above = MIN_SHARES_TO_SWEEP
 
     def share(self, name: str) -> Share:
-        """Return a share, a new one if the name is new."""
+        """Return a share; create it if the name is new."""
         known = self.shares.get(name)
         if known is None:
             if len(self.shares) >= self.sweep_above:
@@ -154,14 +157,14 @@
         return known
 
     def sweep(self) -> None:
-        """Forget every idle share."""
+        """Delete every idle share."""
         self.shares = {
             name: share for name, share in self.shares.items() if not share.is_idle
         }
         self.sweep_above = max(MIN_SHARES_TO_SWEEP, 2 * len(self.shares))
 
     def set_quota(self, name: str, quota: Quota) -> None:
-        """Put a quota in force, for what is queued already as well."""
+        """Apply a quota, also to what is queued already."""
         self.quotas[name] = quota
         known = self.shares.get(name)
         if known is None:
@@ -171,7 +174,10 @@
         known.quota = quota
 
     def enqueue(self, share: Share, tasks: int, seconds: float, now: float) -> None:
-        """Count queued tasks; one that wakes starts at the field."""
+        """Count queued tasks.
+
+        A newly active share starts at the current virtual time.
+        """
         if share.queued == 0:
             self.shares.setdefault(share.name, share)
             self.weight += share.quota.weight
@@ -192,22 +198,22 @@
             self.forget_if_idle(share)
 
     def record_start(self, share: Share, seconds: float, now: float) -> None:
-        """Charge for a started task; the field moves on with who is served."""
+        """Charge for a started task and advance the current virtual time."""
         self.field = max(self.field, share.level * self.step)
         share.running += 1
         share.charge(seconds)
         share.record_drain(seconds, now)
 
     def record_end(self, share: Share, charged: float, used: float) -> None:
-        """Count a task that has ended, and note what was charged wrongly."""
+        """Count a finished task and record the error of its charge."""
         share.running -= 1
         share.correction += used - charged
         self.forget_if_idle(share)
 
     def forget_if_idle(self, share: Share) -> None:
-        """Drop a share that is idle and no step ahead of the field.
+        """Delete an idle share whose level is not above the current virtual time.
 
-        Anyone who waits for each answer before the next request is such a one.
+        This covers every caller that sends one request at a time.
         """
         if not share.is_idle or share.level * self.step > self.field:
             return
@@ -215,7 +221,7 @@
             del self.shares[share.name]
 
     def guaranteed_part(self, share: Share) -> float:
-        """Return the part of all slots that a share has when all are busy."""
+        """Return the part of all slots that a share gets when all are busy."""
         weight = share.quota.weight
         others = self.weight - (weight if share.queued else 0.0)
         return weight / (weight + max(0.0, others))
--- a/src/cactuswalk/decisions/fitting.py
+++ b/src/cactuswalk/decisions/fitting.py
@@ -1,13 +1,13 @@
-"""Tell a job that can never run from one that can't run now.
+"""Distinguish jobs that can never run from jobs that can't run now.
 
-Load pattern: jobs whose labels or sizes no worker meets. Taken in, they wait for
-their deadline and are refused then, with callers who try again for ever; told
-"never" when their only worker is being restarted, callers give up on work that
-would have run a second later.
+Load pattern: jobs whose labels or sizes no worker satisfies. If they were accepted,
+they would wait until their deadline, be refused, and be retried without end. If a job
+were refused for good while its only worker restarts, its caller would give up on work
+that could run a second later.
 
-Never means: of all workers of the service that are known, and of those that left
-not long ago, none could run some task of the job even if it were idle. Everything
-else is "not now", with a time to come back.
+A job never fits if some task of it could not run, even on an idle worker, on any known
+worker of the service or on any that left recently. Any other misfit is temporary, and
+the refusal contains a retry delay.
 """
 
 import msgspec
@@ -26,8 +26,8 @@
 
 __all__ = ["DepartedWorkers", "check_fit", "misfit_reason"]
 
-# A worker that left within this time may be on its way back: the brief's 1,100
-# restarts and replacements a day are done well within the hour.
+# A worker that left within this time may return: the brief's 1,100 restarts and
+# replacements a day all finish well within the hour.
 REMEMBER_SECONDS = 3600.0
 MAX_DEPARTED = 256
 
@@ -36,19 +36,19 @@
 
 
 class DepartedWorkers(msgspec.Struct):
-    """Workers that have left lately, by name, with the time they left."""
+    """Recently departed workers, by name, with the time of departure."""
 
     workers: dict[str, tuple[Announcement, float]] = msgspec.field(default_factory=dict)
 
     def add(self, announcement: Announcement, now: float) -> None:
-        """Remember a worker that has left."""
+        """Add a worker that has left; drop the oldest above MAX_DEPARTED."""
         self.workers.pop(announcement.worker, None)
         self.workers[announcement.worker] = (announcement, now)
         if len(self.workers) > MAX_DEPARTED:
             del self.workers[next(iter(self.workers))]
 
     def recent(self, now: float) -> list[Announcement]:
-        """Return those that left not long ago."""
+        """Return the workers that left within REMEMBER_SECONDS."""
         oldest = now - REMEMBER_SECONDS
         return [entry for entry, left in self.workers.values() if left >= oldest]
 
@@ -71,7 +71,7 @@
 
 
 def largest(tasks: list[TaskSpec]) -> TaskSpec:
-    """Return a task that needs as much of everything as any of them."""
+    """Return a spec with the largest value of each resource of these tasks."""
     memory_mb = max(task.memory_mb for task in tasks)
     accelerators = max(task.accelerators for task in tasks)
     return TaskSpec(b"", 0, memory_mb, accelerators)
@@ -80,22 +80,24 @@
 def check_fit(
     job: Job, present: list[Announcement], departed: list[Announcement]
 ) -> Refusal | None:
-    """Return why a job can't be run by these workers, None if it can.
+    """Return why these workers can't run a job, None if they can.
 
-    :param present: announcements of the workers that are there, of any service.
-    :param departed: of those that left not long ago.
+    :param present: announcements of the present workers, of any service.
+    :param departed: announcements of workers that left recently.
     """
     try:
         parse(job.selector)
     except SelectorError as error:
-        # Entries check selectors; one of another release may know other ones, and
-        # the owner must not stop over a job that it can't read.
+        # Entries validate selectors. An entry of another release may accept a selector
+        # that this release can't parse, and the owner must not fail over it.
         return Refusal(RefusalCode.NEVER_FITS, error.message)
     here = [entry for entry in present if entry.service == job.service]
     departed_here = [entry for entry in departed if entry.service == job.service]
     if not here:
         return Refusal(
-            RefusalCode.NO_WORKER_NOW, f"no worker serves {job.service} now", RETRY_MS
+            RefusalCode.NO_WORKER_NOW,
+            f"no worker of {job.service} is available now",
+            RETRY_MS,
         )
     ready = [entry for entry in here if entry.ready]
     if any(not misfit_reason(entry, job, largest(job.tasks)) for entry in ready):
@@ -123,7 +125,7 @@
     if any(not misfit_reason(entry, job, spec) for entry in here + departed_here):
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
-            f"the workers of {job.service} that could run it are away",
+            f"the workers of {job.service} that could run it are unavailable",
             RETRY_MS,
         )
     reason = misfit_reason(here[0], job, spec)
--- a/src/cactuswalk/decisions/guard.py
+++ b/src/cactuswalk/decisions/guard.py
@@ -1,11 +1,11 @@
-"""What to do with a task that outgrows what it declared, on its worker.
+"""Choose actions against tasks that exceed their declared memory.
 
-Load pattern: a task takes ten times its declared memory while seven others share
-the worker. Without a guard the operating system ends one of them, not always the
-guilty one, and a task that is not idempotent ends with an unknown outcome.
+Load pattern: a task takes ten times its declared memory while seven others share the
+worker. Without a guard the operating system kills one of them, not always the one at
+fault, and a task that is not idempotent ends with an unknown outcome.
 
-The mildest means that helps is taken, and none while the worker has room: declared
-sizes are often wrong, and outgrowing them harms nobody by itself.
+The mildest sufficient action is chosen, and none while the worker has memory left:
+declared sizes are often wrong, and exceeding them is harmless by itself.
 """
 
 import enum
@@ -14,22 +14,23 @@
 
 __all__ = ["GuardAction", "Usage", "choose_guard_actions"]
 
-# Parts of a worker's memory in use. Below the first nothing is done. Reports lag by
-# about a second, in which eight tasks can allocate several percent of 64 GB, so the
-# last step has to come well before the end.
+# Used parts of a worker's memory; below the first nothing is done. Reports lag by about
+# a second, in which eight tasks can allocate several percent of 64 GB, so the last
+# threshold has to be well below 1.
 THROTTLE_ABOVE = 0.85
 CHECKPOINT_ABOVE = 0.90
 STOP_ABOVE = 0.95
 
-# A task within this factor of its declaration has not outgrown it.
+# A task that uses up to this many times its declared memory is not oversized.
 TOLERANCE = 1.25
 
-# Beyond this part of the largest excess, a task is worth stopping in its place.
+# A task may be stopped instead of the one with the largest excess if its own excess is
+# at least this part of that.
 MIN_EXCESS_PART = 0.5
 
 
 class GuardAction(enum.StrEnum):
-    """Means of a worker against a task, the mildest first."""
+    """Actions of a worker against a task, the mildest first."""
 
     NONE = "none"
     THROTTLE = "throttle"
@@ -38,10 +39,10 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """A late report on one running task.
+    """A delayed usage report of one running task.
 
-    :param repeatable: it can be run again without harm.
-    :param checkpoints: the upstream can save it and go on later.
+    :param repeatable: the task can be run again without harm.
+    :param checkpoints: the upstream can save the task and resume it later.
     """
 
     name: str
@@ -51,9 +52,9 @@
     checkpoints: bool = False
 
     def excess_mb(self, fair_mb: float) -> float:
-        """Return how far the task is beyond its declaration.
+        """Return by how much the task exceeds its declared memory.
 
-        :param fair_mb: what counts as declared where nothing was.
+        :param fair_mb: used as the declared memory if none was declared.
         """
         declared = self.declared_mb or fair_mb
         return max(0.0, self.used_mb - TOLERANCE * declared)
@@ -62,10 +63,10 @@
 def choose_guard_actions(
     usages: list[Usage], memory_mb: int, slots: int
 ) -> dict[str, GuardAction]:
-    """Return what to do with which tasks; the others go on.
+    """Return the actions to take, by task name; other tasks go on.
 
-    The task with the largest excess is dealt with first, and only one at a time
-    is stopped or saved: the next report tells whether that was enough.
+    The task with the largest excess is handled first, and only one at a time is stopped
+    or checkpointed: the next report shows whether that was enough.
     """
     if memory_mb <= 0:
         return {}
@@ -86,11 +87,11 @@
 
 
 def choose_target(oversized: list[Usage], fair_mb: float) -> Usage:
-    """Return the task to stop or save.
+    """Return the task to stop or checkpoint.
 
-    Of those that are far beyond their declaration, one that can be saved goes
-    before one that can be repeated, and that before others: stopping a small one
-    because it can be repeated would not help the worker.
+    Of the tasks that far exceed their declaration, one that can be checkpointed is
+    preferred to one that can be repeated, and that to others. A small task is not
+    stopped only because it can be repeated, since that would free little memory.
     """
     most = max(usage.excess_mb(fair_mb) for usage in oversized)
     far = [
--- a/src/cactuswalk/decisions/hedging.py
+++ b/src/cactuswalk/decisions/hedging.py
@@ -1,10 +1,10 @@
-"""Ask a second worker when an idempotent request takes unusually long.
+"""Hedging: send an idempotent request to a second worker when it takes unusually long.
 
-Load pattern: a straggler. One worker pauses or drags, and a request there takes
-ten times as long as it would anywhere else. Without hedging its caller waits for
-it; with hedging of everything, all pay twice. Only single requests that the caller
-declared idempotent are hedged, only beyond a high percentile of run times, only
-onto a slot that is idle, and only within a budget.
+Load pattern: a straggler. One worker pauses or slows down, and a request there takes
+ten times as long as elsewhere. Without hedging its caller waits for it; if every
+request were hedged, the load would double. Only single requests that the caller
+declared idempotent are hedged, only beyond a high percentile of run times, only onto an
+idle slot, and only within a budget.
 """
 
 import math
@@ -13,30 +13,35 @@
 
 __all__ = ["HighPercentile", "is_straggler"]
 
-# Hedge beyond the 95th percentile ("The Tail at Scale"): with a budget of 2% this
-# leaves the budget for those that are late for a reason.
+# Hedging starts beyond the 95th percentile ("The Tail at Scale"). With a budget of 2%
+# this keeps the budget for requests that really are delayed.
 HEDGE_PERCENTILE = 0.95
 
-# Step of the percentile's estimate on a logarithmic scale: 5% a task, so that it
-# follows a doubling within some 300 tasks.
+# Step of the percentile estimate on a logarithmic scale: 5% per task, so that it
+# follows a doubling of run times within some 300 tasks.
 STEP = 0.05
 
-# A request that was expected to be long is no straggler before it has taken this
-# many times as long.
+# A request that was expected to take long is a straggler only after this many times its
+# expected run time.
 TIMES_EXPECTED = 2.0
 
 
 class HighPercentile(msgspec.Struct):
-    """Follows a high percentile of run times without keeping them."""
+    """Estimates a high percentile of run times without storing them."""
 
     seconds: float = 1.0
 
     def observe(self, seconds: float) -> None:
-        """Move up or down, such that 5% of run times stay above."""
+        """Move the estimate so that 5% of run times are above it."""
         below = 1.0 if seconds <= self.seconds else 0.0
         self.seconds *= math.exp(STEP * (HEDGE_PERCENTILE - below))
 
 
 def is_straggler(elapsed: float, expected: float, high: float) -> bool:
-    """Return whether a request has run long enough to ask a second worker."""
+    """Return whether a request has run long enough to be hedged.
+
+    :param elapsed: seconds since its start.
+    :param expected: expected run time, in seconds.
+    :param high: high percentile of run times, in seconds.
+    """
     return elapsed > max(high, TIMES_EXPECTED * expected)
--- a/src/cactuswalk/decisions/lazyheap.py
+++ b/src/cactuswalk/decisions/lazyheap.py
@@ -8,19 +8,19 @@
 
 Member = TypeVar("Member")
 
-# Entries that are out of date are dropped when they come to the top. Below this
-# many, or twice the members, rebuilding would cost more than it saves.
+# Outdated entries are dropped when they reach the top. Up to this many entries, or four
+# per member, rebuilding the heap would cost more than it saves.
 MIN_ENTRIES_TO_REBUILD = 64
 
 
 class LazyHeap(Generic[Member]):
-    """Finds the member with the least key in O(log n), amortised.
+    """Finds the member with the lowest key in amortised O(log n).
 
-    A key that has grown is noticed when the member comes to the top. A key that
-    has shrunk is noticed only if the member is pushed again: that is up to the
-    user, and until then the member merely stands further back than it might.
+    A key that has grown is noticed when its member reaches the top. After a key has
+    shrunk, the caller has to push the member again; until then the member is only
+    further back than it could be.
 
-    :param key: returns a member's key now, None once it has nothing to offer.
+    :param key: returns a member's current key, None if the member has nothing left.
     """
 
     __slots__ = ("entries", "held", "key", "serial")
@@ -32,7 +32,7 @@
         self.serial = 0
 
     def push(self, member: Member) -> None:
-        """Add a member, or add it once more because its key may have shrunk."""
+        """Add a member, or add it again because its key may have shrunk."""
         key = self.key(member)
         if key is None:
             return
@@ -43,7 +43,7 @@
             self.rebuild()
 
     def top(self) -> tuple[tuple, Member] | None:
-        """Return the least key and its member, None if there is none."""
+        """Return the lowest key and its member, None if the heap is empty."""
         while self.entries:
             key, _, member = self.entries[0]
             current = self.key(member)
@@ -57,7 +57,7 @@
         return None
 
     def drop_first(self) -> None:
-        """Take the first entry out."""
+        """Remove the first entry."""
         _, _, member = heapq.heappop(self.entries)
         left = self.held[member] - 1
         if left:
@@ -66,7 +66,7 @@
             del self.held[member]
 
     def rebuild(self) -> None:
-        """Keep one entry a member, with its key of now."""
+        """Keep one entry per member, with its current key."""
         members = list(self.held)
         self.entries = []
         self.held = {}
--- a/src/cactuswalk/decisions/leaving.py
+++ b/src/cactuswalk/decisions/leaving.py
@@ -1,31 +1,32 @@
-"""When an entry that is to stop may take no more callers.
+"""Decide when an entry that is shutting down may exit.
 
-Load pattern: a rolling upgrade while callers work. A balancer learns that an entry
-leaves only by asking whether it is ready, and some ask late, or late under load.
-An entry that left after a fixed time would refuse or cut off what such a balancer
-still sends it; one that waited without end could never be replaced.
+Load pattern: a rolling upgrade under load. A balancer learns that an entry is shutting
+down only from its readiness checks, and some balancers check late, or late under load.
+An entry that exited after a fixed time would refuse or cut off the requests that such a
+balancer still sends; one that waited without limit could never be replaced.
 """
 
 __all__ = ["EntryShutdown"]
 
-# A balancer asks once in one to two seconds; so long nothing is taken as its word.
+# A balancer checks readiness once in one to two seconds; an entry stays at least this
+# long.
 MIN_DRAIN_SECONDS = 3.0
-# Without a new submission for this long the balancer has heeded what it was told.
-# At a request a second and entry, one in three such spans would be quiet by chance;
-# that is why it has to be told first.
+# If no submission arrives for this long, the balancer has reacted to the readiness
+# answer. At one request a second per entry, one in three such spans would be quiet by
+# chance; so the balancer must have been told first.
 QUIET_SECONDS = 1.0
-# A balancer that sends on for this long does not look at readiness at all. Below
-# the half minute that supervisors commonly wait beyond the longest deadline.
+# A balancer that still sends after this time doesn't check readiness at all. Less than
+# the 30 s that supervisors commonly wait beyond the longest deadline.
 MAX_DRAIN_SECONDS = 20.0
-# Who has been told so often that the entry is ready, and asked in this span before
-# the stop, is a balancer and will ask again; one that only waited for the entry's
-# start has been told once.
+# A client that got this many positive readiness answers, and checked within
+# ASKED_WITHIN_SECONDS before the stop, is a balancer and will check again. A client
+# that only waited for the entry's start got one positive answer.
 MIN_READY_ANSWERS = 3
 ASKED_WITHIN_SECONDS = 10.0
 
 
 class EntryShutdown:
-    """What an entry has seen of its balancer, and since when it is to stop."""
+    """The readiness checks and submissions seen by an entry that may shut down."""
 
     __slots__ = ("began_at", "asked_at", "told_at", "taken_at", "times_ready")
 
@@ -37,13 +38,13 @@
         self.times_ready = 0
 
     def begin(self, now: float) -> None:
-        """Note that the entry is to stop."""
+        """Record that the entry is to stop."""
         self.began_at = now
 
     def record_readiness_check(self, ready: bool, now: float) -> None:
-        """Note that somebody has asked whether the entry is ready.
+        """Record a readiness check.
 
-        :param ready: what the answer was.
+        :param ready: the answer that was given.
         """
         self.asked_at = now
         self.times_ready += ready
@@ -51,11 +52,11 @@
             self.told_at = now
 
     def record_submission(self, now: float) -> None:
-        """Note that a caller has submitted something."""
+        """Record that a caller has submitted something."""
         self.taken_at = now
 
     def can_exit(self, now: float) -> bool:
-        """Tell whether nobody is expected to send anything any more."""
+        """Return whether no more requests are expected."""
         if self.began_at is None or now - self.began_at < MIN_DRAIN_SECONDS:
             return False
         if now - self.began_at >= MAX_DRAIN_SECONDS:
--- a/src/cactuswalk/decisions/longtasks.py
+++ b/src/cactuswalk/decisions/longtasks.py
@@ -1,31 +1,31 @@
-"""Keep some slots for short tasks.
+"""Limit long tasks, so that some slots stay free for short ones.
 
-Load pattern: a batch of tasks of several seconds arrives among lookups of 50 ms.
-Once every slot holds a long task, nothing ends for seconds and every lookup waits.
-Long tasks may therefore hold only what short tasks have lately left free, and a few
-slots less. They are not starved: half of the slots are always theirs in the ordinary
-order.
+Load pattern: a batch of tasks of several seconds arrives among lookups of 50 ms. Once
+every slot holds a long task, nothing ends for seconds and every lookup waits. So long
+tasks may hold only the slots that short tasks have lately left free, minus a reserve.
+They don't starve: half of the slots are always open to them in the ordinary order.
 
-The limit only helps where declared run times tell long from short, so it is in
-force only while they do (see ``estimation``).
+The limit only helps if declared run times distinguish long tasks from short ones, so it
+applies only while they do (see ``estimation``).
 """
 
 __all__ = ["is_long", "update_short_average", "slots_for_long"]
 
-# Long is what takes this many times the mean of its service: "a few last several
-# seconds" against a mean near 0.3 s.
+# A task is long if it takes this many times the mean of its service: "a few last
+# several seconds" against a mean near 0.3 s.
 TIMES_MEAN = 4.0
 
-# Long tasks leave the slots that short ones use on average, a quarter more for the
-# swings, and this part of all slots for when the first short ones come.
+# Long tasks leave free the average number of slots that short tasks use plus a quarter
+# for fluctuations, and at least RESERVED_PART of all slots for the first short tasks
+# that arrive.
 HEADROOM = 1.25
 RESERVED_PART = 1 / 12
 
-# But long tasks may always hold this part.
+# Part of the slots that is always open to long tasks.
 LONG_PART = 0.5
 
-# Weight of a look at the running short tasks; ten looks a second make this a memory
-# of two seconds.
+# Weight of one sample of the running short tasks. At ten samples a second the average
+# covers two seconds.
 SAMPLE_GAIN = 0.05
 
 
@@ -35,14 +35,14 @@
 
 
 def update_short_average(average: float, running: int) -> float:
-    """Return the average of running short tasks after another look at them."""
+    """Return the average number of running short tasks after another sample."""
     return average + SAMPLE_GAIN * (running - average)
 
 
 def slots_for_long(slots: int, short: float) -> int:
     """Return how many slots long tasks may hold at a time, at least one.
 
-    :param short: slots that short tasks use on average.
+    :param short: average number of slots that short tasks use.
     """
     reserved = max(slots * RESERVED_PART, HEADROOM * short)
     return max(1, int(slots * LONG_PART), int(slots - reserved))
--- a/src/cactuswalk/decisions/overload.py
+++ b/src/cactuswalk/decisions/overload.py
@@ -1,45 +1,49 @@
-"""Tell a passing peak from a lasting overload, for admission.
+"""Distinguish a short peak from a sustained overload, for admission control.
 
-Load pattern: a peak a little above capacity that passes, as on every school morning,
-and an overload that stays. In a peak every job that is admitted can still be answered
-before its deadline, if those that are nearest to theirs are hurried; refusing some
-early throws away answers that there were slots for. In an overload that stays, the
-same patience lets the queue grow until everyone waits nearly as long as they can bear.
+Load pattern: a peak slightly above capacity that passes, as on every school morning,
+and an overload that lasts. In a peak every admitted job can still meet its deadline if
+the most urgent jobs go first; refusing some early would waste slots that could have
+answered them. In a sustained overload the same policy lets the queue grow until every
+job waits almost until its deadline.
 
-So a service is in a peak until the queue has grown as long as its callers' deadlines,
-which shows in refusals, and then in overload until its queue has once been empty.
+A service is in a peak until its queue has grown as long as its callers' deadlines,
+which shows in refusals. It is then in overload until its queue has been empty once.
 """
 
 import msgspec
 
 __all__ = ["Overload"]
 
-# Weight of one judged job: the part is of about the last 64 jobs, a third of a second
-# at today's rates.
+# Weight of one admission decision: the average covers about the last 64 jobs, a third
+# of a second at today's rates.
 GAIN = 1 / 64
 
-# Above this part of jobs too late even by the whole backlog it is an overload. One in
-# twenty: three refusals in a row; single callers with very short deadlines are less.
+# Sustained overload starts above this part of jobs that are late even by the whole
+# backlog. One in twenty corresponds to three refusals in a row; single callers with
+# very short deadlines stay below it.
 OVERLOAD_PART = 0.05
 
 
 class Overload(msgspec.Struct):
-    """Whether a service is in an overload that stays.
+    """Whether a service is in a sustained overload.
 
-    :param late_part: of the jobs judged lately, those that came too late even if
-        the whole queue is drained by all slots in the order of deadlines.
+    :param late_part: part of recent jobs that would be late even if all slots drained
+        the whole queue in deadline order.
     """
 
     sustained: bool = False
     late_part: float = 0.0
 
     def record_admission(self, late: bool) -> None:
-        """Take note of a job that was admitted or refused in a peak."""
+        """Record an admission decision in a peak.
+
+        :param late: the job was refused because the queue is too long.
+        """
         self.late_part += GAIN * (late - self.late_part)
         if self.late_part > OVERLOAD_PART:
             self.sustained = True
 
     def record_empty_queue(self) -> None:
-        """Take note that nothing is queued."""
+        """End the overload, since nothing is queued."""
         self.sustained = False
         self.late_part = 0.0
--- a/src/cactuswalk/decisions/placement.py
+++ b/src/cactuswalk/decisions/placement.py
@@ -1,15 +1,15 @@
-"""Choose a worker with a free slot; nothing is bound before there is one.
-
-Load pattern: heavy-tailed run times. Whoever binds a task to a worker's own queue
-on arrival binds some behind a task of several seconds while slots elsewhere are
-free. Here a task waits in its lane until a slot is free: with exact knowledge of
-the cell that equals one shared queue over all slots, but for the message delay.
-
-Among free workers the one with the smallest part of its slots in use is taken,
-then the rack with the smallest part: a rack that goes takes its share of the work
-and no more. Workers that drag or are on trial come last, but for idempotent
-requests, which a trial can't hurt. Only workers with a free slot are looked at, so
-a full cell costs nothing to ask.
+"""Choose a worker for a task; a task is bound only when a slot is free.
+
+Load pattern: heavy-tailed run times. A policy that binds each task on arrival to a
+worker's own queue puts some behind a task of several seconds while slots elsewhere are
+free. Here a task waits in its lane until a slot is free: with exact knowledge of the
+cell this equals one shared queue over all slots, apart from the message delay.
+
+The free worker with the smallest used part of its slots is chosen; ties go to the rack
+with the smallest used part, so that the loss of a rack costs no more than its share of
+the work. Slow workers and workers on trial come last, except for idempotent requests,
+which a trial can't harm. Only workers with a free slot are examined, so a full cell
+costs nothing.
 """
 
 import msgspec
@@ -31,10 +31,12 @@
 
 
 class RunningTask(msgspec.Struct, eq=False):
-    """A task that holds a slot, and what it was reckoned with.
+    """A task that holds a slot, and the resources reserved for it.
 
-    :param charged: slot seconds that its team and caller have paid for.
-    :param owner: the scheduler's entry for its job.
+    :param charged: slot seconds charged to its team and caller.
+    :param memory_mb: corrected memory that is reserved.
+    :param owner: the scheduler's ``QueuedJob`` of its job.
+    :param lane: the lane that it was queued in.
     """
 
     index: int
@@ -54,18 +56,20 @@
 
     @property
     def load(self) -> float:
-        """Return the part of the slots in use."""
+        """Return the used part of the slots."""
         return self.running / self.slots if self.slots else 1.0
 
 
 class Worker(msgspec.Struct, eq=False):
-    """What the scheduler knows of a worker.
+    """The scheduler's state of a worker.
 
     :param usable: the owner may start tasks there now.
-    :param usable_slots: slots that count as capacity: 0 while it is away.
+    :param usable_slots: slots that count as capacity; 0 while it is unavailable.
     :param free: slots that can take a task now.
-    :param inherited: tasks that an earlier owner started there; of them nothing
-        is known but that each holds a slot.
+    :param memory_mb: memory reserved by its running tasks.
+    :param accelerators: accelerators reserved by its running tasks.
+    :param inherited: tasks that an earlier owner started there; each holds a slot, and
+        nothing else is known of them.
     """
 
     announcement: Announcement
@@ -89,22 +93,22 @@
 
     @property
     def slots(self) -> int:
-        """Return its slots; a task holds a connection as well."""
+        """Return its slots, at most its connections: each task holds one of both."""
         capacity = self.announcement.capacity
         return min(capacity.slots, capacity.connections)
 
     @property
     def load(self) -> float:
-        """Return the part of its slots in use."""
+        """Return the used part of its slots."""
         return self.held / self.slots if self.slots else 1.0
 
     @property
     def held(self) -> int:
-        """Return the slots that are taken."""
+        """Return the number of used slots."""
         return len(self.running) + len(self.inherited)
 
     def unavailable_reason(self, mean: float, now: float) -> str:
-        """Return why it takes nothing at all now, an empty text if it does."""
+        """Return why it takes no tasks now, an empty text if it does."""
         if not self.announcement.ready:
             return "its upstream is not ready"
         if not self.usable:
@@ -114,15 +118,15 @@
         oldest = next(iter(self.running.values()), None)
         started = oldest.started_at if oldest else now
         if self.health.is_hung(len(self.running), started, mean, now):
-            return "nothing has ended there for long"
+            return "it hangs: none of its tasks has ended for too long"
         return self.health.unavailable_reason(now)
 
 
 class Group(msgspec.Struct, eq=False):
-    """The workers of a service that one selector matches.
+    """The workers of a service that match one selector.
 
-    :param open: those that have a free slot, by name.
-    :param slots: of those that are able to take work.
+    :param open: members with a free slot, by name.
+    :param slots: usable slots of all members.
     """
 
     members: dict[str, Worker] = msgspec.field(default_factory=dict)
@@ -131,26 +135,26 @@
 
 
 class Choice(msgspec.Struct):
-    """The worker chosen for a task, and why, for the log."""
+    """The worker chosen for a task, and the reason for the log."""
 
     worker: Worker
     reason: str
 
 
 def shortage_reason(worker: Worker, memory_mb: float, accelerators: int) -> str:
-    """Return why a task is too large for what is free, empty if it is not.
+    """Return why a worker's free resources don't suffice for a task, empty if they do.
 
-    A task that is larger than the whole worker by its corrected memory, but not
-    as declared, may run there alone: the correction must not make a job of a
-    kind that ran yesterday one that never fits.
+    A task whose corrected memory exceeds the whole worker, but whose declared memory
+    doesn't, may run there alone: otherwise the correction could turn a job of a kind
+    that ran yesterday into one that never fits.
     """
     capacity = worker.announcement.capacity
     alone = not worker.running
     if capacity.memory_mb and memory_mb and not alone:
         if worker.memory_mb + memory_mb > capacity.memory_mb:
-            return "its memory is taken"
+            return "too little of its memory is free"
     if worker.accelerators + accelerators > capacity.accelerators:
-        return "its accelerators are taken"
+        return "too few of its accelerators are free"
     return ""
 
 
@@ -163,7 +167,7 @@
         self.racks: dict[tuple[str, str], Rack] = {}
 
     def put(self, announcement: Announcement, usable: bool) -> Worker:
-        """Add a worker, or take a changed announcement of a known one."""
+        """Add a worker, or update a known one from its announcement."""
         known = self.workers.get(announcement.worker)
         if known is not None:
             self.detach(known)
@@ -185,14 +189,14 @@
         return known
 
     def remove(self, name: str) -> Worker | None:
-        """Forget a worker and return it."""
+        """Remove a worker and return it."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             self.detach(worker)
         return worker
 
     def detach(self, worker: Worker) -> None:
-        """Take a worker out of its groups and its rack."""
+        """Remove a worker from its groups and its rack."""
         worker.rack.slots -= worker.slots
         worker.rack.running -= len(worker.running)
         for group in worker.groups:
@@ -203,7 +207,7 @@
         worker.usable_slots = worker.free = 0
 
     def add_to_group(self, worker: Worker, group: Group) -> None:
-        """Count a worker in a group."""
+        """Add a worker to a group."""
         group.members[worker.name] = worker
         group.slots += worker.usable_slots
         worker.groups.append(group)
@@ -211,13 +215,13 @@
             group.open[worker.name] = worker
 
     def is_member(self, worker: Worker, service: str, selector: str) -> bool:
-        """Return whether a worker is in a group."""
+        """Return whether a worker belongs to the group of a service and selector."""
         if worker.announcement.service != service:
             return False
         return matches(parse(selector), worker.labels)
 
     def group(self, service: str, selector: str) -> Group:
-        """Return the group of a selector, formed when it is first asked for."""
+        """Return the group of a selector; create it on first use."""
         known = self.groups.get((service, selector))
         if known is None:
             known = self.groups[service, selector] = Group()
@@ -227,7 +231,7 @@
         return known
 
     def drop_group(self, service: str, selector: str) -> None:
-        """Forget a group that no queued task uses."""
+        """Delete a group that no queued task uses."""
         group = self.groups.pop((service, selector), None)
         if group is None:
             return
@@ -235,7 +239,7 @@
             worker.groups.remove(group)
 
     def refresh(self, worker: Worker, mean: float, now: float) -> None:
-        """Reckon again what a worker can take, and tell its groups."""
+        """Update a worker's usable and free slots, and those of its groups."""
         usable_slots = 0
         if not worker.unavailable_reason(mean, now):
             usable_slots = worker.health.usable_slots(worker.slots)
@@ -250,7 +254,7 @@
                 group.open.pop(worker.name, None)
 
     def occupy(self, worker: Worker, submission: str, task: RunningTask) -> None:
-        """Give a task a slot and what else it needs."""
+        """Assign a slot, memory and accelerators to a task."""
         worker.running[submission, task.index] = task
         worker.rack.running += 1
         worker.memory_mb += task.memory_mb
@@ -259,7 +263,7 @@
     def release(
         self, worker: Worker, submission: str, index: int
     ) -> RunningTask | None:
-        """Take back what a task held, None if it held nothing."""
+        """Release what a task held; return the task, None if it held nothing."""
         task = worker.running.pop((submission, index), None)
         if task is None:
             return None
@@ -278,7 +282,7 @@
 ) -> Choice | None:
     """Return the best worker of a group with room for a task, None if none has.
 
-    :param reserved: a worker that is kept free for another task.
+    :param reserved: a worker that is reserved for another task.
     """
     candidates = [
         worker
@@ -295,19 +299,19 @@
                 return Choice(worker, "trial of a returning worker")
     healthy = [worker for worker in candidates if is_healthy(worker)]
     if not healthy:
-        return Choice(min(candidates, key=load_order), "no sound worker is free")
+        return Choice(min(candidates, key=load_order), "no healthy worker is free")
     if job.key:
         worker = choose_preferred(job.key, healthy)
         if worker is not None:
-            return Choice(worker, "its key is served there")
+            return Choice(worker, "preferred worker of its key")
     return Choice(min(healthy, key=load_order), "least loaded of the free workers")
 
 
 def is_healthy(worker: Worker) -> bool:
-    """Return whether nothing speaks against a worker."""
+    """Return whether a worker is neither slow nor on trial."""
     return not worker.health.is_slow and worker.health.trial_slots is None
 
 
 def load_order(worker: Worker) -> tuple[float, float]:
-    """Order workers by load, then by the load of their racks."""
+    """Sort key: a worker's load, then the load of its rack."""
     return worker.load, worker.rack.load
--- a/src/cactuswalk/decisions/queueing.py
+++ b/src/cactuswalk/decisions/queueing.py
@@ -1,13 +1,13 @@
-"""Queued jobs of one service that need the same kind of worker: a lane.
+"""Lanes: queues of the tasks of one service that need the same kind of worker.
 
-Load pattern: work for a few special workers (accelerators, one rack) among work
-that any worker can do. In one queue, the first task that must wait for a special
-worker would hold up all behind it, or each free slot would have to search the
-whole queue. A lane is a queue of tasks that every worker treats alike, so that
-only its first task has to be looked at.
+Load pattern: work for a few special workers (accelerators, one rack) among work that
+any worker can do. In a single queue the first task that waits for a special worker
+would block all tasks behind it, or each free slot would require a search of the whole
+queue. All tasks of a lane fit the same workers, so only the first one has to be
+checked.
 
-Cancelling a job costs its own tasks: it is emptied where it stands, and its place
-is dropped when it comes to the front.
+Cancelling a job costs time in proportion to its own tasks: its tasks are removed, and
+its heap entry is dropped when it reaches the top.
 """
 
 import collections
@@ -23,15 +23,15 @@
 __all__ = ["Lane", "LaneKey", "QueuedJob", "lane_key"]
 
 
-# Before every order and every level.
+# Sorts before every order key and every level.
 URGENT = -math.inf
 
 
 class LaneKey(msgspec.Struct, frozen=True):
-    """What decides which workers can take a task.
+    """The properties that determine which workers can take a task.
 
-    :param memory_class: the power of two that the declared memory fits in, so
-        that no two declarations make two lanes for nothing.
+    :param memory_class: bit length of the declared memory, so that similar declarations
+        share a lane.
     :param long: the task is expected to hold its slot for long.
     """
 
@@ -43,7 +43,7 @@
 
 
 def lane_key(job: Job, spec: TaskSpec, long: bool) -> LaneKey:
-    """Return the lane of a task."""
+    """Return the lane key of a task."""
     memory_class = spec.memory_mb.bit_length()
     return LaneKey(job.service, job.selector, memory_class, spec.accelerators, long)
 
@@ -51,15 +51,18 @@
 class QueuedJob(msgspec.Struct, eq=False):
     """A job that has tasks queued or running.
 
-    :param order: its place among jobs that have the same claim; a number breaks
-        ties, so that a declined task comes back to its old place.
-    :param expected: run time of each task, in seconds.
-    :param lanes: of its tasks, by index.
-    :param predicted_wait: wait for its last slot as seen on admission, in seconds.
-    :param dispatched: a task of it has been given to a worker.
-    :param cancelled: what becomes of its tasks says nothing about workers.
+    :param order: its sort key among jobs with the same fair-share level; a serial
+        number breaks ties, so that a declined task returns to its place.
+    :param expected: expected run time of each task, in seconds.
+    :param lanes: the lane of each task, by index.
+    :param pending: indexes of the queued tasks, by lane.
+    :param predicted_wait: wait for its last slot as predicted on admission, in seconds.
+    :param queued: number of queued tasks.
+    :param running: number of running tasks.
+    :param dispatched: a task of it has been assigned to a worker.
+    :param urgent: it goes before all other jobs, see ``Lane.move_to_front``.
     :param in_peak: it was admitted by the whole backlog, see ``overload``.
-    :param urgent: it goes before all claims, see ``Lane.hurry``.
+    :param cancelled: failures of its tasks don't count against workers.
     """
 
     job: Job
@@ -80,7 +83,7 @@
     cancelled: bool = False
 
     def task(self, index: int) -> QueuedTask:
-        """Return one of the job's tasks as the owner knows it."""
+        """Return one of the job's tasks in the owner's terms."""
         return QueuedTask(self.job, index, self.queued_at, self.deadline)
 
 
@@ -100,7 +103,10 @@
 
 
 class Lane:
-    """Teams, their callers and their jobs, each in its own order."""
+    """A queue of teams, their callers and their jobs, each level with its own order.
+
+    Teams in ``parked`` are at their limit of running tasks.
+    """
 
     __slots__ = (
         "by_name",
@@ -122,7 +128,11 @@
         self.running = 0
 
     def add(self, queued: QueuedJob, indexes: list[int], front: bool = False) -> None:
-        """Put tasks of a job in; ``front`` is for one that comes back."""
+        """Queue tasks of a job.
+
+        :param front: put them before the job's other tasks, for a task that was
+            declined.
+        """
         waiting = queued.pending.setdefault(self, collections.deque())
         if front:
             waiting.extendleft(reversed(indexes))
@@ -140,7 +150,7 @@
         self.teams.push(team)
 
     def team_queue(self, share: Share) -> TeamQueue:
-        """Return the queue of a team, a new one if it has none here."""
+        """Return the queue of a team; create it if it has none here."""
         team = self.by_name.get(share.name)
         if team is None:
             team = TeamQueue(share, LazyHeap(caller_key), {})
@@ -148,7 +158,7 @@
         return team
 
     def job_key(self, queued: QueuedJob) -> tuple | None:
-        """Return the place of a job, None if it has no task left here."""
+        """Return the sort key of a job, None if it has no task left here."""
         if not queued.pending.get(self):
             return None
         return (URGENT, queued.order[1]) if queued.urgent else queued.order
@@ -162,10 +172,10 @@
         self.teams.push(team)
 
     def first(self) -> tuple[tuple, TeamQueue] | None:
-        """Return the place of the lane's first task, and its team.
+        """Return the sort key of the lane's first task, and its team.
 
-        A team that runs as much as it may is set aside until one of its tasks
-        has ended, so that it is not looked at again for each free slot.
+        A team at its limit of running tasks is set aside until one of its tasks has
+        ended, so that it isn't checked again for each free slot.
         """
         while (found := self.teams.top()) is not None:
             if not found[1].share.is_at_limit:
@@ -175,7 +185,7 @@
         return None
 
     def unpark(self, team: str) -> None:
-        """Let a team that was set aside take part again."""
+        """Put a team back that was set aside at its limit."""
         if team in self.parked:
             self.parked.discard(team)
             queue = self.by_name.get(team)
@@ -183,28 +193,28 @@
                 self.teams.push(queue)
 
     def peek(self, team: TeamQueue) -> tuple[QueuedJob, int]:
-        """Return the first task of the lane's first team."""
+        """Return the first task of a team: its job and its index."""
         _, caller = team.callers.top()
         _, queued = caller.jobs.top()
         return queued, self.peek_task(queued)
 
     def peek_task(self, queued: QueuedJob) -> int:
-        """Return the first task that a job has here."""
+        """Return the index of the first task that a job has here."""
         return queued.pending[self][0]
 
     def take(self, queued: QueuedJob, index: int) -> None:
-        """Take the task that ``peek`` has returned out."""
+        """Remove the task that ``peek`` has returned."""
         queued.pending[self].popleft()
         self.record_removal(queued, [index])
 
     def clear(self, queued: QueuedJob) -> list[int]:
-        """Take all tasks of a job out and return their indexes."""
+        """Remove all tasks of a job and return their indexes."""
         waiting = list(queued.pending.pop(self, ()))
         self.record_removal(queued, waiting)
         return waiting
 
     def record_removal(self, queued: QueuedJob, indexes: list[int]) -> None:
-        """Count tasks that have left the lane."""
+        """Update the counts for tasks that have left the lane."""
         self.queued -= len(indexes)
         left = self.queued_seconds - sum(queued.expected[index] for index in indexes)
         self.queued_seconds = max(0.0, left) if self.queued else 0.0
@@ -212,7 +222,7 @@
             queued.pending.pop(self, None)
 
     def forget(self, team: Share, caller: Share) -> None:
-        """Drop the queues of a caller and a team if they are empty here."""
+        """Delete the queues of a caller and a team if they are empty here."""
         known = self.by_name.get(team.name)
         if known is None:
             return
@@ -225,7 +235,7 @@
 
 
 def caller_key(caller: CallerQueue) -> tuple | None:
-    """Return the place of a caller in its team: its level, then its first job."""
+    """Return the sort key of a caller: its level, then its first job."""
     found = caller.jobs.top()
     if found is None:
         return None
@@ -235,7 +245,7 @@
 
 
 def team_key(team: TeamQueue) -> tuple | None:
-    """Return the place of a team: its level, then its first caller's first job."""
+    """Return the sort key of a team: its level, then its first caller's first job."""
     found = team.callers.top()
     if found is None:
         return None
--- a/src/cactuswalk/decisions/reservation.py
+++ b/src/cactuswalk/decisions/reservation.py
@@ -1,12 +1,12 @@
-"""Keep a worker free for a task that needs much of it.
+"""Reserve a worker for a task that needs a large part of it.
 
-Load pattern: a task that declares most of a worker's memory among many small ones.
+Load pattern: a task that declares most of a worker's memory among many small tasks.
 Whenever some memory comes free, a small task takes it, and the large one waits until
-its deadline though it is first in the queue.
+its deadline although it is first in the queue.
 
-A task that has been first and has found no room for some run times gets the worker
-with the most room: nothing else is started there until the task fits. One worker a
-service at a time, so that at most that much lies idle.
+When the first task of a lane has found no room for several run times, the worker with
+the most free memory is reserved for it: nothing else is started there until the task
+fits. At most one worker per service is reserved, which bounds the idle capacity.
 """
 
 import msgspec
@@ -16,13 +16,13 @@
 
 __all__ = ["Reservation", "best_worker", "is_due"]
 
-# Waiting for this many mean run times without room is no bad luck any more: all that
-# ran when it began has ended but for the longest tasks.
+# After this many mean run times without room, waiting is no coincidence: all tasks that
+# ran at the start of the wait have ended, except for the longest.
 RUN_TIMES_WITHOUT_ROOM = 4.0
 
 
 class Reservation(msgspec.Struct, eq=False):
-    """A worker that is kept for a task."""
+    """A worker that is reserved for a task."""
 
     worker: Worker
     lane: Lane
@@ -42,7 +42,7 @@
 
 
 def best_worker(group: Group, memory_mb: float, accelerators: int) -> Worker | None:
-    """Return the worker that will soonest have room, None if none is large enough."""
+    """Return the worker with the most free memory, None if none is large enough."""
     large_enough = [
         worker
         for worker in group.members.values()
@@ -54,5 +54,5 @@
 
 
 def spare_memory_mb(worker: Worker) -> float:
-    """Return the memory of a worker that is not reserved by its tasks."""
+    """Return the memory of a worker that its tasks have not reserved."""
     return worker.announcement.capacity.memory_mb - worker.memory_mb
--- a/src/cactuswalk/decisions/scheduler.py
+++ b/src/cactuswalk/decisions/scheduler.py
@@ -1,7 +1,7 @@
-"""Bind queued tasks to workers as late as possible, within one cell.
+"""The scheduler of one cell: binds queued tasks to workers as late as possible.
 
-The owner's reducer talks to this module only; it composes the others. Nothing
-here sends, reads a clock or knows an address.
+The owner's reducer calls only this module, which combines the others. Nothing here
+sends messages, reads a clock or knows an address.
 """
 
 import random
@@ -29,19 +29,19 @@
 
 __all__ = ["Assignment", "Explanation", "QueuedTask", "Scheduler", "Shed"]
 
-# How often all workers are looked at for what time alone has changed (an ejection
-# that ends, a worker that hangs): two of the runtime's ticks.
+# Interval at which all workers are checked for changes that come with time alone (an
+# ejection that ends, a worker that hangs): two ticks of the runtime.
 REVIEW_SECONDS = 0.1
 
-# Seeds the generator where none is handed in, so that runs can be repeated.
+# Seed of the default generator, so that runs can be repeated.
 DEFAULT_SEED = 20261202
 
 
 class Scheduler:
-    """Queue, choose and shed for the workers of one cell.
+    """Admits, queues, assigns and sheds the jobs of one cell.
 
-    :param generator: spreads the times at which refused callers come back.
-    :param order: of jobs with the same claim to the next slot.
+    :param generator: draws the jitter of retry delays.
+    :param order: the order of jobs with the same fair-share level.
     """
 
     def __init__(
@@ -57,10 +57,10 @@
     # Workers.
 
     def set_worker(self, announcement: Announcement, usable: bool, now: float) -> None:
-        """Add a worker or take a changed announcement of it.
+        """Add a worker, or update a known one from its announcement.
 
-        One that joins a cell which is at work begins on trial: it may be cold, or
-        back because it was broken.
+        A worker that left this cell recently and returns begins on trial: it may be
+        cold, or may have left because of a fault.
         """
         is_new = announcement.worker not in self.cell.pool.workers
         worker = self.cell.pool.put(announcement, usable)
@@ -70,26 +70,26 @@
         self.cell.refresh_capacity(worker, now)
 
     def has_departed_recently(self, announcement: Announcement, now: float) -> bool:
-        """Return whether a worker has left this cell not long ago."""
+        """Return whether a worker has recently left this cell."""
         name = announcement.worker
         return any(entry.worker == name for entry in self.cell.departed.recent(now))
 
     def _suppress_flapping(self, worker: Worker, now: float) -> None:
-        """Give a worker that dies over and over nothing for a while.
+        """Suppress a worker that repeatedly dies.
 
-        Unless that left too few: a cell whose hosts all restart together is no
-        worse for the one than for the others.
+        Not if too many workers would be out: when all hosts of a cell restart together,
+        none is worse than the others.
         """
         until = self.damping.suppressed_until(worker.name, now)
         if self.cell.peer_health(worker, now).ejected_part <= MAX_EJECTED_PART:
             worker.health.ejected_until = until
 
     def worker_died(self, worker: str, now: float) -> None:
-        """Take note that a life of a worker has ended without a planned stop."""
+        """Record that a worker has died without a planned stop."""
         self.damping.record_death(worker, now)
 
     def remove_worker(self, worker: str, now: float) -> None:
-        """Forget a worker; what runs there is the owner's to settle."""
+        """Remove a worker; the owner settles the tasks that run there."""
         known = self.cell.pool.workers.get(worker)
         if known is None:
             return
@@ -99,7 +99,7 @@
         self.cell.departed.add(known.announcement, now)
 
     def set_drained(self, worker: str, drained: bool, now: float) -> None:
-        """Give a worker nothing new, or let it take work again."""
+        """Stop or resume assigning tasks to a worker."""
         known = self.cell.pool.workers.get(worker)
         if known is not None:
             known.drained = drained
@@ -112,7 +112,7 @@
         weight: float = 1.0,
         maximum_running: int | None = None,
     ) -> None:
-        """Put a team's weight and limit in a service in force."""
+        """Apply a team's weight and limit in a service."""
         state = self.cell.service(service)
         quota = Quota(max(weight, MIN_WEIGHT), maximum_running)
         state.teams.set_quota(team, quota)
@@ -122,7 +122,7 @@
     def usage_report(
         self, worker: str, usages: list[Usage], now: float
     ) -> dict[str, GuardAction]:
-        """Take a late report on what runs on a worker; return what to do there."""
+        """Process a delayed usage report of a worker; return the guard's actions."""
         known = self.cell.pool.workers.get(worker)
         if known is None:
             return {}
@@ -136,7 +136,12 @@
     # Jobs.
 
     def admit(self, job: Job, deadline: float, now: float) -> Refusal | None:
-        """Take a whole job into the queue, or say why none of it is taken."""
+        """Queue a whole job, or return why none of it is accepted.
+
+        A submission that is known already is accepted again without effect.
+
+        :param deadline: on the owner's monotonic clock, in seconds.
+        """
         if job.submission in self.cell.jobs:
             return None
         present = [worker.announcement for worker in self.cell.pool.workers.values()]
@@ -168,10 +173,10 @@
         return None
 
     def requeue(self, task: QueuedTask, worker: str, now: float) -> None:
-        """Put back a task that its worker has declined, at the front.
+        """Put a task that its worker has declined back at the front.
 
-        A task that waits already is left where it is: a decline that is repeated
-        by the network would otherwise queue it twice, and start it twice.
+        A task that is queued already stays as it is: a decline that the network
+        duplicates would otherwise queue the task twice, and start it twice.
         """
         submission = task.job.submission
         queued = self.cell.jobs.get(submission)
@@ -194,7 +199,7 @@
             self.cell.release(known, submission, task.index, now)
 
     def inherit(self, submission: str, index: int, worker: str, now: float) -> None:
-        """Let a task that an earlier owner started hold its slot."""
+        """Count a task that an earlier owner started against its worker's slots."""
         known = self.cell.pool.workers.get(worker)
         if known is not None:
             known.inherited.add((submission, index))
@@ -210,9 +215,9 @@
         now: float,
         excused: bool = False,
     ) -> None:
-        """Free what a task held on a worker, and learn from how it ended.
+        """Release what a task held on a worker, and learn from its outcome.
 
-        :param excused: it failed, but not by its worker's fault.
+        :param excused: it failed, but not through its worker's fault.
         """
         known = self.cell.pool.workers.get(worker)
         if known is None:
@@ -233,7 +238,7 @@
         self.cell.release(known, submission, index, now)
 
     def cancel(self, submission: str, now: float) -> list[QueuedTask]:
-        """Take the queued tasks of a submission out and return them."""
+        """Remove the queued tasks of a submission and return them."""
         queued = self.cell.jobs.get(submission)
         if queued is None:
             return []
@@ -244,7 +249,7 @@
     # Decisions.
 
     def assign(self, now: float) -> list[Assignment | Shed]:
-        """Return all that can be started or must be refused now."""
+        """Return all tasks that can be started or must be refused now."""
         if now >= self.next_review:
             self.review(now)
         decided: list[Assignment | Shed] = []
@@ -255,7 +260,7 @@
         return decided
 
     def review(self, now: float) -> None:
-        """Look at all workers for what has changed by time alone."""
+        """Update all workers for changes that come with time alone."""
         self.next_review = now + REVIEW_SECONDS
         for worker in self.cell.pool.workers.values():
             self.cell.refresh_capacity(worker, now)
@@ -266,7 +271,7 @@
     # Second attempts.
 
     def may_retry(self, task: QueuedTask, now: float) -> bool:
-        """Return whether a failed request may be tried again, and pay for it."""
+        """Return whether a failed request may be retried; spend a retry token if so."""
         if not can_be_repeated(task.job) or now >= task.deadline:
             return False
         return self.cell.service(task.job.service).retries.spend()
@@ -274,18 +279,18 @@
     def hedges(
         self, now: float, services: frozenset[str] | None = None
     ) -> list[Assignment]:
-        """Return second attempts at stragglers, onto idle slots, in the budget.
+        """Start and return hedges of stragglers, on idle slots and within the budget.
 
-        The owner takes the first answer. Each attempt ends in ``finished``.
+        The owner takes the first answer. Each attempt ends with a call of ``finished``.
 
-        :param services: where this is wanted; None for all.
+        :param services: services to hedge; None for all.
         """
         return start_hedges(self.cell, now, services)
 
     # Reports.
 
     def free_slots(self) -> dict[str, int]:
-        """Return the free slots per service."""
+        """Return the number of free slots per service."""
         free: dict[str, int] = {}
         for worker in self.cell.pool.workers.values():
             service = worker.announcement.service
@@ -293,7 +298,7 @@
         return free
 
     def queued(self) -> dict[str, int]:
-        """Return the queued tasks per service."""
+        """Return the number of queued tasks per service."""
         return {
             name: state.queued
             for name, state in self.cell.services.items()
@@ -301,7 +306,7 @@
         }
 
     def explain(self, job: Job, now: float) -> list[Explanation]:
-        """Say of each worker whether it could take the job, and why not."""
+        """Explain for each worker whether it could take the job, and why not."""
         return [
             explain_worker(self.cell, worker, job, now)
             for _, worker in sorted(self.cell.pool.workers.items())
--- a/src/cactuswalk/decisions/secondattempts.py
+++ b/src/cactuswalk/decisions/secondattempts.py
@@ -1,4 +1,4 @@
-"""Second attempts at requests that have started: which, where and when."""
+"""Hedging of running requests: which one, where and when."""
 
 from cactuswalk.decisions import placement
 from cactuswalk.decisions.cellstate import CellState
@@ -13,11 +13,11 @@
 def start_hedges(
     cell: CellState, now: float, services: frozenset[str] | None = None
 ) -> list[Assignment]:
-    """Return second attempts at stragglers, onto idle slots, in the budget.
+    """Start and return hedges of stragglers, on idle slots and within the budget.
 
-    The owner takes the first answer. Each attempt ends in ``finished``.
+    The owner takes the first answer. Each attempt ends with a call of ``finished``.
 
-    :param services: where this is wanted; None for all.
+    :param services: services to hedge; None for all.
     """
     decided = []
     for submission, (worker, task) in list(cell.hedgeable.items()):
@@ -43,7 +43,7 @@
 def choose_hedge_worker(
     cell: CellState, worker: Worker, task: RunningTask
 ) -> Worker | None:
-    """Return the least loaded other worker that has room."""
+    """Return the least loaded other healthy worker that has room."""
     job = task.owner.job
     group = cell.pool.group(job.service, job.selector)
     candidates = [
@@ -59,7 +59,7 @@
 def start_hedge(
     cell: CellState, state: Service, worker: Worker, task: RunningTask, now: float
 ) -> Assignment:
-    """Start the second attempt at a task."""
+    """Start the second attempt of a task."""
     state.record_start(task.owner, task.lane, task.charged, now)
     second = RunningTask(
         task.index,
--- a/src/cactuswalk/decisions/service.py
+++ b/src/cactuswalk/decisions/service.py
@@ -1,4 +1,4 @@
-"""What the scheduler keeps of one service: its queue, shares and estimates."""
+"""The scheduler's state of one service: its queue, shares and estimates."""
 
 import msgspec
 
@@ -25,17 +25,21 @@
 def caller_shares() -> ShareTree:
     """Return the shares of one team's callers.
 
-    A caller that wakes passes its team's heavy callers at once, by a step.
+    A caller that becomes active starts one step ahead, and so passes its team's heavy
+    callers at once.
     """
     return ShareTree(CALLER_STEP_SECONDS, head_start=1)
 
 
 class Service(msgspec.Struct, eq=False):
-    """The queue of one service.
-
-    :param jobs_queued: jobs that have tasks queued.
-    :param long_running: long tasks that hold a slot.
-    :param short_average: slots that short tasks have lately held.
+    """The queue, shares and estimates of one service.
+
+    :param callers: shares of each team's callers, by team.
+    :param high_percentile: run time beyond which a request may be hedged.
+    :param jobs_queued: number of jobs that have tasks queued.
+    :param long_running: number of running long tasks.
+    :param short_average: average number of slots that short tasks have lately held.
+    :param reservation: the worker that is reserved for a large task, if any.
     """
 
     name: str
@@ -60,7 +64,7 @@
 
     @classmethod
     def empty(cls, name: str) -> "Service":
-        """Return the state of a service that nothing is known of."""
+        """Return the initial state of a service."""
         return cls(
             name,
             ShareTree(TEAM_STEP_SECONDS),
@@ -84,7 +88,7 @@
         return self.teams.share(team), callers.share(caller)
 
     def lane(self, queued: QueuedJob, spec: TaskSpec, expected: float) -> Lane:
-        """Return the lane of a task, a new one if it is the first of its kind."""
+        """Return the lane of a task; create it if it is the first of its kind."""
         durations = self.durations
         long = durations.has_informative_declarations and is_long(
             expected, durations.mean
@@ -115,7 +119,7 @@
         lane.add(queued, indexes, front)
 
     def record_removal(self, queued: QueuedJob, lane: Lane, indexes: list[int]) -> None:
-        """Count tasks that have left their lane: started, shed or cancelled."""
+        """Update the counts for tasks that were started, shed or cancelled."""
         seconds = sum(queued.expected[index] for index in indexes)
         queued.queued -= len(indexes)
         self.jobs_queued -= queued.queued == 0
@@ -129,14 +133,14 @@
         lane.forget(queued.team, queued.caller)
 
     def sample_running(self) -> None:
-        """Take note of how many short tasks are running."""
+        """Add a sample of the number of running short tasks."""
         short = self.running - self.long_running
         self.short_average = update_short_average(self.short_average, short)
 
     def record_start(
         self, queued: QueuedJob, lane: Lane, charged: float, now: float
     ) -> None:
-        """Count a task that starts."""
+        """Update the counts and charge the shares for a task that starts."""
         self.teams.record_start(queued.team, charged, now)
         self.callers[queued.team.name].record_start(queued.caller, charged, now)
         queued.running += 1
@@ -150,7 +154,7 @@
     def record_end(
         self, queued: QueuedJob, lane: Lane, charged: float, used: float
     ) -> None:
-        """Count a task that has ended."""
+        """Update the counts and correct the shares for a task that has ended."""
         queued.running -= 1
         lane.running -= 1
         self.running -= 1
@@ -169,11 +173,12 @@
         constrained_wait: float,
         now: float,
     ) -> Backlog:
-        """Return what a new job finds, see ``Backlog``.
+        """Return the backlog that a new job would join, see ``Backlog``.
 
-        :param slots: that can take its tasks.
-        :param free: of these, the ones that are idle.
-        :param constrained_wait: seconds until a worker can meet its needs.
+        :param slots: slots that can take its tasks.
+        :param free: how many of these are idle.
+        :param constrained_wait: predicted wait in seconds for workers with the memory
+            or accelerators that it needs.
         """
         team, caller = queued.team, queued.caller
         idle = free - self.queued >= len(queued.expected)
--- a/src/cactuswalk/decisions/sharing.py
+++ b/src/cactuswalk/decisions/sharing.py
@@ -1,12 +1,12 @@
-"""How cells divide the slots of a service among them.
+"""Division of a service's slots between cells.
 
-Load pattern: cells are added while requests arrive, are emptied before their
-hosts are replaced, and differ in size. Without shares that follow the workers, a
-new cell would idle beside a full one, and an emptied one would refuse its share
-of the requests for ever.
+Load pattern: cells are added while requests arrive, are emptied before their hosts are
+replaced, and differ in size. Without shares that follow the workers, a new cell would
+idle beside a full one, and an emptied cell would refuse its share of the requests
+permanently.
 
-Two cells at a time are levelled, by the worker slots that each has; no node has
-to know all cells.
+Two cells at a time balance their slots, in proportion to their worker slots; no node
+has to know all cells.
 """
 
 import msgspec
@@ -22,16 +22,18 @@
     "without_superseded",
 ]
 
-# A difference below this part of the fair share is left: levelled to the last
-# slot, two cells whose workers come and go would swap slots without end.
+# Differences below this part of the fair share are left alone. Balanced to the last
+# slot, two cells whose workers come and go would exchange slots endlessly.
 TOLERANCE = 0.25
 
 
 def slots_to_cede(mine: int, my_workers: int, theirs: int, their_workers: int) -> int:
-    """Return how many slots to cede to a cell that asks.
+    """Return how many slots to cede to a cell that requests them.
 
-    :param mine: open slots here, ``theirs`` at the cell that asks.
-    :param my_workers: worker slots of the service here, ``their_workers`` there.
+    :param mine: open slots here.
+    :param my_workers: worker slots of the service here.
+    :param theirs: open slots at the requesting cell.
+    :param their_workers: worker slots of the service at the requesting cell.
     """
     if their_workers <= 0:
         return 0
@@ -45,11 +47,11 @@
 def cession_begins_ms(
     holdings: list[Holding], service: str, wall_ms: float, latest_ms: int, ahead_ms: int
 ) -> int:
-    """Return from which birth on a cell may cede slots.
+    """Return the earliest key birth time for which a cell may cede slots.
 
-    Later than every key that it has seen, and than the beginning of each
-    holding: a clock that is behind that of the cell which ceded them would
-    otherwise give away births that the earlier holder kept.
+    It is later than every key that the cell has accepted and later than the start of
+    each of its holdings: if this clock is behind that of the cell which ceded them, the
+    cession would otherwise include births that the earlier holder kept.
 
     :param latest_ms: the latest birth of a key that was accepted here.
     :param ahead_ms: how far ahead of this clock a key may be born.
@@ -61,9 +63,9 @@
 def cede(
     holdings: list[Holding], service: str, to: str, count: int, from_ms: int
 ) -> list[Holding]:
-    """Return what is held once slots have been ceded for births from a moment on.
+    """Return the holdings after ceding slots for keys born from a time on.
 
-    Whole holdings first, the last one in part, so that they stay few.
+    Whole holdings are ceded first and only the last one in part, so that there are few.
     """
     serial = 1 + max((one.serial for one in holdings), default=0)
     found: list[Holding] = []
@@ -86,7 +88,7 @@
 
 
 def retire(holdings: list[Holding], to: str, from_ms: int) -> list[Holding]:
-    """Return what a cell that is gone for good leaves: all ceded to another."""
+    """Return the holdings of a cell that is gone for good: all ceded to another."""
     services = {one.service for one in holdings}
     for service in sorted(services):
         count = sum(one.last - one.first + 1 for one in holdings)
@@ -98,7 +100,7 @@
 def take(
     holdings: list[Holding], source: str, ceded: list[Holding], after: int
 ) -> list[Holding]:
-    """Return what is held once the cessions after a serial have been taken."""
+    """Return the holdings after accepting the cessions with a later serial."""
     return holdings + [
         Holding(one.service, one.first, one.last, one.until_ms, source=source)
         for one in ceded
@@ -107,9 +109,9 @@
 
 
 def without_superseded(holdings: list[Holding], before_ms: float) -> list[Holding]:
-    """Drop ended holdings of which no record is kept any more.
+    """Drop ended holdings for which no records are kept any more.
 
-    The latest of its slots stays, so that an entry can be sent on from here.
+    The latest one of its slots is kept, so that entries can be redirected from here.
     """
     return [
         one
--- a/src/cactuswalk/decisions/shedding.py
+++ b/src/cactuswalk/decisions/shedding.py
@@ -1,17 +1,17 @@
-"""Refuse queued jobs as soon as their deadline can't be met any more.
+"""Shed queued jobs as soon as their deadline can't be met any more.
 
-Load pattern: an overload that admission did not foresee (run times turned out ten
-times longer, workers went). Without this, tasks are started for callers who are
-already gone, and those behind them become late in their turn.
+Load pattern: an overload that admission control did not foresee (run times became ten
+times longer, or workers left). Without shedding, tasks are started for callers who have
+given up, and the jobs behind them become late as well.
 
-A job is hurried before it gets that far: it was admitted because there are slots for
-it in time, and giving up one of which a part has run would waste what ran. Whom the
-fair share or the jobs' order passes again and again would else be shed though others
-could have waited. That may pass the fair share by what was admitted, no more.
+A job becomes urgent before that point: it was admitted because there are slots for it
+in time, and shedding a job that has partly run wastes that work. Otherwise jobs that
+the fair share or the job order passes over repeatedly would be shed although others
+could have waited. Urgent jobs may exceed the fair share, but only by what was admitted.
 
-Jobs are kept by the latest time at which their remaining tasks can start. A look
-at the first costs nothing, so the refusal comes when it becomes true and not when
-the task would have had its turn.
+Jobs are sorted by the latest time at which their remaining tasks can start. Checking
+the first one is cheap, so the refusal is sent as soon as it becomes certain and not
+when the task would have had its turn.
 """
 
 import heapq
@@ -21,27 +21,31 @@
 
 __all__ = ["DeadlineQueue", "latest_start"]
 
-# Entries of jobs that have left are dropped when they are this many and the
-# majority, lest a cancelled wave keeps its bodies until its deadlines.
+# Entries of jobs that are no longer queued are dropped when there are more entries than
+# this and they are the majority. Otherwise a wave of cancelled jobs would keep their
+# bodies in memory until their deadlines.
 MIN_ENTRIES_TO_REBUILD = 64
 
 
-# A job is hurried when this part of its time is left beyond the latest start. Of the
-# brief's largest job on today's cells all 140 tasks need about half a second of all
-# slots, so a fifth of a deadline of some seconds is enough in an overload, in which
-# admission keeps the queue short. In a peak the queue may be as long as the deadlines;
-# 0.2 to 0.6 were tried, see docs/design/decisions/admission.md.
+# A job becomes urgent when this part of its time is left before its latest start. All
+# 140 tasks of the brief's largest job take about half a second of all slots of today's
+# cells, so a fifth of a deadline of some seconds is enough in an overload, in which
+# admission control keeps the queue short. In a peak the queue may be as long as the
+# deadlines; 0.2 to 0.6 were tried, see docs/design/decisions/admission.md.
 URGENT_PART = 0.2
 PEAK_URGENT_PART = 0.4
 
 
 def latest_start(queued: QueuedJob) -> float:
-    """Return when a job's remaining tasks have to start at the latest."""
+    """Return the latest time at which a job's remaining tasks can start."""
     return queued.deadline - MIN_RUN_TIME_PART * max(queued.expected)
 
 
 class DeadlineQueue:
-    """Queued jobs by their latest start."""
+    """Queued jobs by deadline.
+
+    ``early`` holds them by when they become urgent, ``late`` by their latest start.
+    """
 
     __slots__ = ("early", "late", "serial")
 
@@ -51,9 +55,9 @@
         self.serial = 0
 
     def add(self, queued: QueuedJob, live: int) -> None:
-        """Watch a job.
+        """Add a job.
 
-        :param live: jobs that have tasks queued.
+        :param live: number of jobs that have tasks queued.
         """
         if len(self.late) > max(MIN_ENTRIES_TO_REBUILD, 2 * live):
             self.early = drop_dequeued(self.early)
@@ -66,19 +70,19 @@
         heapq.heappush(self.early, (urgent_at, self.serial, queued))
 
     def pop_urgent(self, now: float) -> list[QueuedJob]:
-        """Return the jobs that have to be hurried from now on."""
+        """Remove and return the jobs that are urgent from now on."""
         return pop_due(self.early, now)
 
     def pop_unreachable(self, now: float) -> list[QueuedJob]:
-        """Return the jobs whose queued tasks can't be answered in time."""
+        """Remove and return the jobs whose queued tasks can't be answered in time."""
         return pop_due(self.late, now)
 
 
 def pop_due(entries: list[tuple[float, int, QueuedJob]], now: float) -> list[QueuedJob]:
-    """Take out the jobs whose time has come and that have tasks queued.
+    """Remove the due entries; return their jobs that have tasks queued.
 
-    A job that came back from a worker is in the heap once for each return, and is
-    returned once.
+    A job that a worker has declined has one entry for each return, and is returned
+    once.
     """
     due: dict[QueuedJob, None] = {}
     while entries and entries[0][0] <= now:
--- a/src/cactuswalk/decisions/tasks.py
+++ b/src/cactuswalk/decisions/tasks.py
@@ -1,4 +1,4 @@
-"""What the scheduler is given and what it decides, as data."""
+"""Input and output types of the scheduler."""
 
 import msgspec
 
@@ -10,6 +10,7 @@
 class QueuedTask(msgspec.Struct):
     """A task that waits for a worker.
 
+    :param queued_at: on the owner's monotonic clock, in seconds.
     :param deadline: on the owner's monotonic clock, in seconds.
     """
 
@@ -20,12 +21,12 @@
 
     @property
     def spec(self) -> TaskSpec:
-        """Return what the caller declared of the task."""
+        """Return what the caller declared about the task."""
         return self.job.tasks[self.index]
 
 
 class Assignment(msgspec.Struct):
-    """Start this task on this worker now; ``reason`` goes to the log."""
+    """Start this task on this worker now; ``reason`` is logged."""
 
     task: QueuedTask
     worker: str
@@ -35,8 +36,7 @@
 class Shed(msgspec.Struct):
     """Refuse this queued task now: it can't be answered in time.
 
-    A task that was shed has not been sent to any worker since it was last
-    queued.
+    It has not been sent to any worker since it was last queued.
     """
 
     task: QueuedTask
@@ -44,7 +44,7 @@
 
 
 class Explanation(msgspec.Struct):
-    """Why a worker can or can't take a job; ``verdict`` is a sentence."""
+    """Whether and why a worker can or can't take a job; ``verdict`` is a sentence."""
 
     worker: str
     fits: bool
