--- a/features/decision_selector.feature
+++ b/features/decision_selector.feature
@@ -1,4 +1,4 @@
-Feature: Label selectors decide where work may land
+Feature: Label selectors determine which workers may run a job
 
   Scenario Outline: A selector is matched against a worker's labels
     Given a worker in rack "r1" of data centre "cluj" with labels "tier=gold,gpu=2"
@@ -22,10 +22,10 @@
       | service in (booking)         | yes     |
       | rack=r2                      | no      |
 
-  Scenario Outline: A selector that can't be read is refused at its character
-    An operator mistypes a selector. Taken for an empty one it would let work
-    land anywhere, so it is refused before anything is placed by it, and the
-    operator sees the place of the mistake.
+  Scenario Outline: A selector that can't be parsed is refused with the position of the error
+    An operator mistypes a selector. Treated as an empty one, it would allow work on
+    every worker; so it is refused before it is used, and the error names the
+    position of the mistake.
     When the selector "<selector>" is parsed
     Then the selector is refused at character <position> with a remedy
 
@@ -42,12 +42,12 @@
       | a=b c=d         | 5        |
       | !               | 2        |
 
-  Scenario: Any text is either read or refused with its place
-    Then 500 drawn selector texts are each read or refused inside the text
+  Scenario: Any text is either parsed or refused with a position
+    Then 500 random selector texts are each parsed or refused with a position inside
 
-  Scenario: Names of places are read as they are written
-    The data centres of Lăbuța Unită are Brașov and Mureș. A selector that can't
-    name them would leave an operator without a way to choose between them.
+  Scenario: Label values may contain non-ASCII letters
+    Two data centres are called Brașov and Mureș. If selectors could not contain
+    these letters, an operator could not choose between them.
     Given a worker in rack "r1" of data centre "Brașov" with labels "echipă=zi"
     When the selector "data-centre in (Brașov, Mureș), echipă!=nopți" is matched against that worker
     Then the selector's verdict is yes
--- a/features/steps/decision_refusals_steps.py
+++ b/features/steps/decision_refusals_steps.py
@@ -23,8 +23,7 @@
 
 
 @given(
-    'a refusing scheduler with workers of {memory:d} MB, of which "{name}" has an '
-    "accelerator"
+    'a scheduler with workers of {memory:d} MB, of which "{name}" has an accelerator'
 )
 def step_workers(context, memory, name):
     context.now = 0.0
@@ -65,19 +64,19 @@
     offer(context, deadline=seconds)
 
 
-@then('the scheduler refuses it as "{code}" with a time to come back')
+@then('the scheduler refuses it as "{code}" with a retry delay')
 def step_refused_later(context, code):
     assert context.refusal.code == code, context.refusal
     assert context.refusal.retry_after_ms > 0
 
 
-@then('the scheduler refuses it as "{code}" without a time to come back')
+@then('the scheduler refuses it as "{code}" without a retry delay')
 def step_refused_never(context, code):
     assert context.refusal.code == code, context.refusal
     assert context.refusal.retry_after_ms is None
 
 
-@given("a refusing scheduler whose queue is full for deadlines of {seconds:g} seconds")
+@given("a scheduler whose queue is full for deadlines of {seconds:g} seconds")
 def step_full(context, seconds):
     context.now = 0.0
     context.scheduler = Scheduler()
@@ -86,33 +85,33 @@
     context.refusal = None
     while context.refusal is None:
         offer(context, deadline=seconds, duration_ms=300)
-        start(context)
+        start_assigned(context)
 
 
-def start(context):
+def start_assigned(context):
     for decision in context.scheduler.assign(context.now):
         if isinstance(decision, Assignment):
             context.running.append((context.now + 0.3, decision))
 
 
 @when(
-    "a job with {seconds:g} seconds left is refused and comes back after the time given"
+    "a job with {seconds:g} seconds left is refused and retried after the delay given"
 )
-def step_come_back(context, seconds):
+def step_retry(context, seconds):
     context.idle_before = False
-    returns = context.now + context.refusal.retry_after_ms / 1000
-    while context.running and context.running[0][0] <= returns:
+    retry_at = context.now + context.refusal.retry_after_ms / 1000
+    while context.running and context.running[0][0] <= retry_at:
         context.now, ended = context.running.pop(0)
         name = (ended.task.job.submission, ended.task.index)
         context.scheduler.finished(*name, ended.worker, True, 300, context.now)
-        start(context)
+        start_assigned(context)
     context.idle_before = context.scheduler.free_slots() == {"booking": SLOTS}
-    context.now = returns
-    offer(context, deadline=returns + seconds, duration_ms=300)
+    context.now = retry_at
+    offer(context, deadline=retry_at + seconds, duration_ms=300)
 
 
-@then("it is taken and the slots were never idle before")
-def step_taken(context):
+@then("it is admitted and the slots were never idle before")
+def step_admitted(context):
     assert context.refusal is None, context.refusal
     assert not context.idle_before
 
@@ -134,7 +133,7 @@
     assert shed[context.last].code == code, shed
 
 
-@given('a refusing scheduler where team "{team}" may run {most:d} tasks at a time')
+@given('a scheduler where team "{team}" may run {most:d} tasks at a time')
 def step_quota(context, team, most):
     context.now = 0.0
     context.scheduler = Scheduler()
--- a/features/steps/decision_scheduler_steps.py
+++ b/features/steps/decision_scheduler_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the bookkeeping of the scheduler."""
+"""Steps for the scheduler's accounting of tasks and slots."""
 
 import random
 
@@ -21,8 +21,8 @@
     return Job(f"{team}/{name}", b"", "booking", team, specs, **extra)
 
 
-class History:
-    """Drives a scheduler through a drawn history and checks its counts."""
+class EventSequence:
+    """Applies random events to a scheduler and checks its counts."""
 
     def __init__(self, seed):
         self.generator = random.Random(seed)
@@ -122,22 +122,24 @@
             for name, (_, worker) in list(self.running.items()):
                 del self.running[name]
                 self.scheduler.finished(*name, worker, True, 100, self.now)
-        assert not self.queued, "a task was left in the queue for ever"
+        assert not self.queued, "a task never left the queue"
         assert not self.scheduler.cell.jobs
         state = self.scheduler.cell.service("booking")
         assert (state.jobs_queued, state.long_running) == (0, 0)
         assert all(share.running == 0 for share in state.teams.shares.values())
 
 
-@then("{count:d} drawn histories of the scheduler keep every task and slot in count")
-def step_histories(context, count):
+@then(
+    "{count:d} random event sequences keep the scheduler's tasks and slots consistent"
+)
+def step_event_sequences(context, count):
     @settings(max_examples=count, derandomize=True, database=None, deadline=None)
     @drawn(strategies.integers(0, 2**32), strategies.integers(1, 120))
     def check(seed, steps):
-        history = History(seed)
+        sequence = EventSequence(seed)
         for _ in range(steps):
-            history.step()
-        history.settle()
+            sequence.step()
+        sequence.settle()
 
     check()
 
@@ -186,8 +188,8 @@
     assert started[0].task.job.submission == "t/j0", started
 
 
-@then("the declining worker is left alone for a while")
-def step_left_alone(context):
+@then("the declining worker is paused for a while")
+def step_paused(context):
     pool = context.scheduler.cell.pool
     assert pool.workers[context.worker].free == 0
     context.scheduler.assign(10.0)
--- a/features/steps/decision_second_attempts_steps.py
+++ b/features/steps/decision_second_attempts_steps.py
@@ -40,7 +40,7 @@
     "a hedging scheduler with {workers:d} workers that has finished {count:d} tasks "
     "of {took:d} ms"
 )
-def step_warm(context, workers, count, took):
+def step_scheduler(context, workers, count, took):
     context.scheduler = Scheduler()
     context.now = 0.0
     for number in range(workers):
@@ -77,12 +77,12 @@
     assert context.scheduler.hedges(context.now + 10) == []
 
 
-@when("the stragglers are run with and without hedging")
+@when("the straggler workload runs with and without hedging")
 def step_stragglers(context):
     context.runs = compare_hedging(SITUATIONS["stragglers"]())
 
 
-@then("hedging brings the {percentile} slowdown of the stragglers to half or less")
+@then("hedging at least halves the workload's {percentile} slowdown")
 def step_half(context, percentile):
     hedged, unhedged = [run.outcomes()["all"].report for run in context.runs]
     field = f"job_{percentile}"
@@ -90,14 +90,14 @@
     assert hedged.answered == hedged.offered
 
 
-@then("at most {percent:g}% of the stragglers' requests were hedged")
+@then("at most {percent:g}% of the workload's requests were hedged")
 def step_few_hedges(context, percent):
     hedged, _ = context.runs
     offered = hedged.outcomes()["all"].report.offered
     assert 0 < hedged.hedged <= percent / 100 * offered, hedged.hedged
 
 
-@when("{count:d} idempotent requests fail and ask to be tried again")
+@when("{count:d} idempotent requests fail and request a retry")
 def step_retry(context, count):
     context.allowed = 0
     for _ in range(count):
@@ -109,7 +109,7 @@
 
 @then("at most {count:d} of those retries are allowed")
 def step_few_retries(context, count):
-    # A tenth of the hundred, and the eight that were saved up before.
+    # A tenth of the hundred, and the eight saved tokens.
     assert 0 < context.allowed <= count, context.allowed
 
 
@@ -121,7 +121,7 @@
 
 
 @when("one job of {tasks:d} tasks fails everywhere")
-def step_poison(context, tasks):
+def step_job_fails(context, tasks):
     started = submit(context, tasks=tasks, request=False)
     finish(context, started, succeeded=False)
 
@@ -154,7 +154,7 @@
 
 
 @when("{count:d} requests in turn fail at a deadline after {took:d} ms")
-def step_tight(context, count, took):
+def step_short_deadline(context, count, took):
     for _ in range(count):
         started = submit(context, patience=took / 1000)
         context.now += took / 1000
--- a/features/steps/decision_selector_steps.py
+++ b/features/steps/decision_selector_steps.py
@@ -51,7 +51,9 @@
     assert context.error.remedy
 
 
-@then("{count:d} drawn selector texts are each read or refused inside the text")
+@then(
+    "{count:d} random selector texts are each parsed or refused with a position inside"
+)
 def step_any_text(context, count):
     @settings(max_examples=count, derandomize=True, database=None, deadline=None)
     @drawn(strategies.text(alphabet="ab=!,() in$", max_size=16))
--- a/features/steps/decision_sizes_steps.py
+++ b/features/steps/decision_sizes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for tasks that need much of a worker."""
+"""Steps for tasks that need a large part of a worker's memory."""
 
 import heapq
 
@@ -11,8 +11,8 @@
 RUN_SECONDS = 0.3
 
 
-class Sizes:
-    """Runs tasks of given sizes, each 300 ms, on a virtual clock."""
+class MemoryLoad:
+    """Runs tasks of given memory sizes, 300 ms each, on a virtual clock."""
 
     def __init__(self, workers, slots, memory_mb):
         self.scheduler = Scheduler()
@@ -41,7 +41,7 @@
         for entry in self.scheduler.assign(self.now):
             name = entry.task.job.submission
             self.started[name] = self.now
-            # Ends are spread, so that memory comes free in small pieces.
+            # Staggered ends free the memory in small pieces.
             ends = self.now + RUN_SECONDS + 0.01 * (len(self.started) % 7)
             serial = len(self.started)
             heapq.heappush(self.running, (ends, serial, name, entry.worker))
@@ -58,29 +58,29 @@
     "a sizing scheduler with {workers:d} workers of {slots:d} slots and {memory:d} MB"
 )
 def step_sizes(context, workers, slots, memory):
-    context.sizes = Sizes(workers, slots, memory)
+    context.load = MemoryLoad(workers, slots, memory)
 
 
 @when("tasks of {small:d} MB come all the time and one of {large:d} MB after 1 second")
 def step_large(context, small, large):
-    context.sizes.keep_queued(small, 1.0)
-    context.large = context.sizes.submit(large)
-    context.before = len(context.sizes.started)
-    context.submitted_at = context.sizes.now
-    context.sizes.keep_queued(small, 8.0)
+    context.load.keep_queued(small, 1.0)
+    context.large = context.load.submit(large)
+    context.before = len(context.load.started)
+    context.submitted_at = context.load.now
+    context.load.keep_queued(small, 8.0)
 
 
 @then("the sizing scheduler starts the large task within {seconds:d} seconds")
 def step_started(context, seconds):
-    assert context.large in context.sizes.started, "it never started"
-    waited = context.sizes.started[context.large] - context.submitted_at
+    assert context.large in context.load.started, "the large task never started"
+    waited = context.load.started[context.large] - context.submitted_at
     assert waited <= seconds, waited
 
 
-@then("small tasks went on meanwhile")
-def step_went_on(context):
-    # One of two workers is kept for a while: half of 8 s at 6 tasks in 0.33 s.
-    assert len(context.sizes.started) - context.before > 72
+@then("small tasks were started meanwhile")
+def step_small_started(context):
+    # One of two workers is reserved for a while: half of 8 s at 6 tasks in 0.33 s.
+    assert len(context.load.started) - context.before > 72
 
 
 @when("tasks of {size:d} MB come all the time, and reports say that each uses {used:d}")
@@ -95,16 +95,16 @@
 
 
 def report_usage(context, used):
-    sizes = context.sizes
+    load = context.load
     for _ in range(150):
-        sizes.keep_queued(context.size, 0.1)
+        load.keep_queued(context.size, 0.1)
         usages = [
-            Usage(name, context.size, used) for _, _, name, worker in sizes.running
+            Usage(name, context.size, used) for _, _, name, worker in load.running
         ]
-        sizes.scheduler.usage_report("w0", usages, sizes.now)
-    sizes.keep_queued(context.size, 1.0)
+        load.scheduler.usage_report("w0", usages, load.now)
+    load.keep_queued(context.size, 1.0)
 
 
 @then("the sizing scheduler runs {count:d} of them at a time")
 def step_at_a_time(context, count):
-    assert len(context.sizes.running) == count, len(context.sizes.running)
+    assert len(context.load.running) == count, len(context.load.running)
--- a/src/cactuswalk/decisions/backoff.py
+++ b/src/cactuswalk/decisions/backoff.py
@@ -18,11 +18,11 @@
 
 __all__ = ["MAX_WAIT_SECONDS", "Backoff", "adapt_timeout"]
 
-# The service answers in milliseconds (brief), so a short disturbance is over by then.
+# The service normally answers in milliseconds, so a short disturbance is over by then.
 INITIAL_WAIT_SECONDS = 0.05
 
-# A configuration change has to be in force everywhere within 5 s (brief); a node that
-# waited longer would learn of it too late.
+# A configuration change has to be in force everywhere within 5 s (requirement); a node
+# that waited longer would learn of it too late.
 MAX_WAIT_SECONDS = 4.0
 
 # A longer timeout would keep a caller waiting for an answer that is of no use any more.
--- a/src/cactuswalk/decisions/callbudget.py
+++ b/src/cactuswalk/decisions/callbudget.py
@@ -19,13 +19,13 @@
     "CallBudget",
 ]
 
-# The service handles about 2,000 reads or several hundred (here: 400) writes a second
-# (brief), so a write costs five times as much as a read.
+# By its specification the service handles about 2,000 reads or several hundred (here:
+# 400) writes a second, so a write costs five times as much as a read.
 READ_COST = 1
 WRITE_COST = 5
 
-# The target's 8,300 workers form 280 cells of 30 workers. One process of each cell
-# calls the service: 280 times 5 tokens a second is 1,400 of 2,000.
+# The planned 8,300 workers form 280 cells of 30 workers. One process of each cell calls
+# the service: 280 times 5 tokens a second is 1,400 of 2,000.
 AGENT_RATE = 5.0
 # A takeover takes a read and four swaps: the cell, the roster without the lost member,
 # the roster with its copies kept, and one after a lost race. Forming a cell takes up to
--- a/src/cactuswalk/decisions/ejection.py
+++ b/src/cactuswalk/decisions/ejection.py
@@ -38,8 +38,8 @@
 # If peers fail less often than this, one failure on trial ejects the worker again.
 RARE_FAILURE_RATE = 0.1
 
-# At most this part of a service's workers is ejected at a time. A rack of today holds 3
-# of 11 workers.
+# At most this part of a service's workers is ejected at a time: a rack holds 3 of 11
+# workers in the current deployment.
 MAX_EJECTED_PART = 0.34
 
 # The ejection time doubles with each failed trial. The first covers a restart; the
@@ -59,7 +59,8 @@
 MIN_TASKS_TO_JUDGE_SPEED = 8
 
 # A worker is hung when it runs at least two tasks and none has ended for this many mean
-# run times, and at least the brief's "several seconds".
+# run times, and for at least MIN_HANG_SECONDS: a task may take "several seconds" by the
+# requirements.
 HANG_RUN_TIMES = 10.0
 MIN_HANG_SECONDS = 3.0
 
--- a/src/cactuswalk/decisions/estimation.py
+++ b/src/cactuswalk/decisions/estimation.py
@@ -18,8 +18,8 @@
 
 __all__ = ["DurationEstimate", "SizeEstimate"]
 
-# Initial mean run time. The middle of the brief's 50 ms to 1 s on a logarithmic scale
-# is 223 ms; the mean is above it because of the tail of several seconds.
+# Initial mean run time. The middle of the required range of 50 ms to 1 s is 223 ms on a
+# logarithmic scale; the mean is above it because of the tail of several seconds.
 PRIOR_SECONDS = 0.3
 
 # Initially a declaration has a weight of one half, as if callers' errors varied as much
@@ -28,8 +28,8 @@
 PRIOR_COVARIANCE = 0.5
 
 # Weight of a new observation. 1/128 follows a change within about 128 tasks, half a
-# second at today's rates, and keeps the sampling error of a mean whose deviation equals
-# the mean near 6%.
+# second at the current task rate, and keeps the sampling error of a mean whose
+# deviation equals the mean near 6%.
 GAIN = 1 / 128
 
 # Number of observations that the prior counts as.
--- a/src/cactuswalk/decisions/fitting.py
+++ b/src/cactuswalk/decisions/fitting.py
@@ -26,8 +26,8 @@
 
 __all__ = ["DepartedWorkers", "check_fit", "misfit_reason"]
 
-# A worker that left within this time may return: the brief's 1,100 restarts and
-# replacements a day all finish well within the hour.
+# A worker that left within this time may return: each of the 1,100 restarts and
+# replacements a day finishes well within the hour.
 REMEMBER_SECONDS = 3600.0
 MAX_DEPARTED = 256
 
--- a/src/cactuswalk/decisions/leaving.py
+++ b/src/cactuswalk/decisions/leaving.py
@@ -55,7 +55,7 @@
         """Record that a caller has submitted something."""
         self.taken_at = now
 
-    def can_exit(self, now: float) -> bool:
+    def can_stop(self, now: float) -> bool:
         """Return whether no more requests are expected."""
         if self.began_at is None or now - self.began_at < MIN_DRAIN_SECONDS:
             return False
--- a/src/cactuswalk/decisions/overload.py
+++ b/src/cactuswalk/decisions/overload.py
@@ -15,7 +15,7 @@
 __all__ = ["Overload"]
 
 # Weight of one admission decision: the average covers about the last 64 jobs, a third
-# of a second at today's rates.
+# of a second at the current job rate.
 GAIN = 1 / 64
 
 # Sustained overload starts above this part of jobs that are late even by the whole
--- a/src/cactuswalk/decisions/shedding.py
+++ b/src/cactuswalk/decisions/shedding.py
@@ -27,9 +27,9 @@
 MIN_ENTRIES_TO_REBUILD = 64
 
 
-# A job becomes urgent when this part of its time is left before its latest start. All
-# 140 tasks of the brief's largest job take about half a second of all slots of today's
-# cells, so a fifth of a deadline of some seconds is enough in an overload, in which
+# A job becomes urgent when this part of its time is left before its latest start. The
+# largest job has 140 tasks, which take about half a second of all slots of a current
+# cell. So a fifth of a deadline of some seconds is enough in an overload, in which
 # admission control keeps the queue short. In a peak the queue may be as long as the
 # deadlines; 0.2 to 0.6 were tried, see docs/design/decisions/admission.md.
 URGENT_PART = 0.2
--- a/src/cactuswalk/runtime/entry.py
+++ b/src/cactuswalk/runtime/entry.py
@@ -154,7 +154,7 @@
     def _may_leave(self, now: float) -> bool:
         if self.leaving.began_at is None:
             self.leaving.begin(now)
-        return self.leaving.can_exit(now)
+        return self.leaving.can_stop(now)
 
     def _not_ready(self) -> list[str]:
         now = time.monotonic()
