--- a/features/configuration_fakes.py
+++ b/features/configuration_fakes.py
@@ -28,7 +28,7 @@
 
 
 class FakeChanges(typing.NamedTuple):
-    whole: bool
+    is_snapshot: bool
     changes: list
 
 
--- a/features/platform_race.py
+++ b/features/platform_race.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from cactuswalk.platform import settling
+from cactuswalk.platform import swapoutcome
 from cactuswalk.platform.keyvalue import KeyValueStore
-from cactuswalk.platform.settling import Verdict, contains
+from cactuswalk.platform.swapoutcome import Verdict, contains_write_id
 from cactuswalk.state.events import KeySwapped, SwapOutcome
 from features.platform_world import World, memory_store
 from standins.keyvalue_virtual import VirtualLoop
@@ -130,18 +130,18 @@
 class ReadsBackOnce(KeyValueStore):
     """Sends once, and after a failure believes what it reads."""
 
-    async def _settle(self, key, expected, value, write_id):
-        self.patience, patience = 0.001, self.patience
+    async def _swap_until_certain(self, key, expected, value, write_id):
+        self.max_retry_seconds, max_retry_seconds = 0.001, self.max_retry_seconds
         try:
-            verdict = await super()._settle(key, expected, value, write_id)
+            verdict = await super()._swap_until_certain(key, expected, value, write_id)
         finally:
-            self.patience = patience
+            self.max_retry_seconds = max_retry_seconds
         if verdict is not None:
             return verdict
         held = await self.read(key)
         if not held.known:
             return None
-        if contains(held.value or b"", write_id):
+        if contains_write_id(held.value or b"", write_id):
             return Verdict(SwapOutcome.APPLIED, held.revision)
         return Verdict(SwapOutcome.LOST, held.revision)
 
@@ -149,20 +149,20 @@
 class NoHistory(KeyValueStore):
     """Takes another's value for the proof that its own was never there."""
 
-    async def _search(self, reply, write_id, start, deadline):
-        return settling.judge(reply, write_id, False)
+    async def _search_history(self, reply, write_id, start, deadline):
+        return swapoutcome.classify_reply(reply, write_id, False)
 
 
 class Forgetful(KeyValueStore):
     """Takes a swap that is asked again for a new one."""
 
-    def _remember(self, write_id):
-        self.unsettled.clear()
-        return super()._remember(write_id)
+    def _track_in_doubt(self, write_id):
+        self.in_doubt.clear()
+        return super()._track_in_doubt(write_id)
 
-    async def _settle(self, key, expected, value, write_id):
-        self.unsettled.clear()
-        return await super()._settle(key, expected, value, write_id)
+    async def _swap_until_certain(self, key, expected, value, write_id):
+        self.in_doubt.clear()
+        return await super()._swap_until_certain(key, expected, value, write_id)
 
 
 GUESSES = {
--- a/features/steps/platform_race_steps.py
+++ b/features/steps/platform_race_steps.py
@@ -11,7 +11,7 @@
     KeyValueStore,
     WriteIdMissingError,
 )
-from cactuswalk.platform.settling import contains
+from cactuswalk.platform.swapoutcome import contains_write_id
 from features.platform_race import ACTS, GUESSES, run_race
 from features.platform_world import PROPERTY, World, memory_store
 from standins.keyvalue_virtual import VirtualLoop
@@ -87,8 +87,8 @@
 @then('a value of write "{other}" does not name write "{write_id}"')
 def step_names(context, other, write_id):
     for encode in (msgspec.json.encode, msgspec.msgpack.encode):
-        assert contains(encode({"write_id": other}), other)
-        assert not contains(encode({"write_id": other}), write_id)
+        assert contains_write_id(encode({"write_id": other}), other)
+        assert not contains_write_id(encode({"write_id": other}), write_id)
 
 
 @then("a value without its write id is refused before it is sent")
@@ -115,8 +115,8 @@
 
 @then('the client\'s problem has the code "{code}"')
 def step_problem(context, code):
-    assert context.world.store.problem.code == code
-    assert context.world.store.problem.remedy
+    assert context.world.store.last_error.code == code
+    assert context.world.store.last_error.remedy
 
 
 RACES = strategies.lists(
@@ -141,11 +141,11 @@
 
 @then("nor does it where clients remember one doubt only")
 def step_races_forgetting(context):
-    limit, store_module.UNSETTLED_LIMIT = store_module.UNSETTLED_LIMIT, 1
+    limit, store_module.MAX_IN_DOUBT_SWAPS = store_module.MAX_IN_DOUBT_SWAPS, 1
     try:
         run_races(KeyValueStore, 200)
     finally:
-        store_module.UNSETTLED_LIMIT = limit
+        store_module.MAX_IN_DOUBT_SWAPS = limit
 
 
 @when("the client is replaced and the next one asks for the same swap")
@@ -154,7 +154,7 @@
 
     async def next_life():
         store = memory_store(world.service, "next life")
-        return await store.settle("cell", 2, context.value, context.write_id)
+        return await store.resolve_swap("cell", 2, context.value, context.write_id)
 
     context.swapped = world.run(next_life())
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -14,7 +14,7 @@
     ValueTooLargeError,
     open_store,
 )
-from cactuswalk.platform.protocol import MAXIMUM_VALUE_BYTES
+from cactuswalk.platform.protocol import MAX_VALUE_BYTES
 from cactuswalk.state.events import SwapOutcome
 from features.platform_world import World
 from standins.keyvalue_virtual import VirtualLoop
@@ -96,11 +96,11 @@
     assert context.world.seen == [b"1", b"2"]
 
 
-def http_failure(world, url, token="secret", within=5.0):
+def http_failure(world, url, token="secret", timeout=5.0):
     async def call():
         connection = HttpConnection([url], "web", token)
         try:
-            await connection.call("/v3/kv/range", b'{"key":"eA=="}', within)
+            await connection.call("/v3/kv/range", b'{"key":"eA=="}', timeout)
         finally:
             await connection.close()
 
@@ -145,7 +145,7 @@
 @then("a value of a megabyte comes back and through a watch, and no larger one")
 def step_http_megabyte(context):
     world = context.world
-    value = b'"large-1"'.ljust(MAXIMUM_VALUE_BYTES)
+    value = b'"large-1"'.ljust(MAX_VALUE_BYTES)
 
     async def follow():
         told = await world.store.swap("large", 0, value, "large-1")
@@ -166,7 +166,7 @@
 @then("a call to a frozen service is not known not to be sent")
 def step_http_frozen(context):
     context.world.service.set_faults({"frozen": True})
-    error = http_failure(context.world, context.world.service.url, within=0.2)
+    error = http_failure(context.world, context.world.service.url, timeout=0.2)
     assert error.sent and error.timed_out
     context.world.service.set_faults({"frozen": False})
 
--- a/features/steps/platform_watch_steps.py
+++ b/features/steps/platform_watch_steps.py
@@ -53,7 +53,7 @@
     world = context.world
     world.run(asyncio.sleep(10))
     first, *others = world.seen
-    assert first.whole and not any(changes.whole for changes in others)
+    assert first.is_snapshot and not any(changes.is_snapshot for changes in others)
     brought = [change.mod_revision for news in others for change in news.changes]
     history = [change.revision for change in world.service.store.history]
     assert brought == [number for number in history if number > first.revision]
@@ -64,7 +64,7 @@
 def step_whole(context, key):
     context.world.run(asyncio.sleep(10))
     last = context.world.seen[-1]
-    assert last.whole
+    assert last.is_snapshot
     assert [change.key for change in last.changes] == ["b", "c", "cell"], last
     assert last.revision == context.world.service.store.revision
 
@@ -100,7 +100,7 @@
         async for news in world.store.watch("", 0):
             assert not revisions or news.revision >= revisions[-1], revisions
             revisions.append(news.revision)
-            if news.whole:
+            if news.is_snapshot:
                 held.clear()
             for change in news.changes:
                 held[change.key] = (change.value, change.mod_revision)
@@ -169,7 +169,7 @@
 @then("the holder counts the lease from before the renewal was sent")
 def step_counted_from(context):
     assert context.world.loop.time() > context.sent
-    assert context.lease.expires == context.sent + 5
+    assert context.lease.expires_at == context.sent + 5
 
 
 @then("the service holds {number:d} lease")
@@ -182,10 +182,10 @@
     connection = context.world.store.connection
     stream = connection.stream
 
-    def repeating(path, body, within):
+    def repeating(path, body, timeout):
         request = msgspec.json.decode(body)
         request["create_request"]["start_revision"] = "1"
-        return stream(path, msgspec.json.encode(request), within)
+        return stream(path, msgspec.json.encode(request), timeout)
 
     connection.stream = repeating
 
--- a/src/cactuswalk/http/operators_store.py
+++ b/src/cactuswalk/http/operators_store.py
@@ -51,7 +51,7 @@
 class KeyChanges(Protocol):
     """What a watch has brought; ``whole`` for a complete list."""
 
-    whole: bool
+    is_snapshot: bool
     changes: list[KeyChange]
 
 
@@ -240,7 +240,7 @@
 
     def take(self, news: KeyChanges) -> ConfigurationUpdate:
         """Return the update for the next news of the watch."""
-        since = 0 if news.whole else self.newest
+        since = 0 if news.is_snapshot else self.newest
         update = self.keys.update(since, news.changes)
         self.newest = update.revision
         return update
--- a/src/cactuswalk/platform/announcements.py
+++ b/src/cactuswalk/platform/announcements.py
@@ -6,17 +6,17 @@
 from aiohttp.web_response import Response
 
 from cactuswalk.dispatch.agentevents import Announced, Departed
-from cactuswalk.platform.callers import reply
+from cactuswalk.platform.callers import json_response
 from cactuswalk.platform.heartbeats import (
     INSTANCES_PATH,
     MalformedHeartbeatError,
     read_heartbeat,
 )
 
-__all__ = ["AnnouncementEdge"]
+__all__ = ["AnnouncementHandler"]
 
 
-class AnnouncementEdge:
+class AnnouncementHandler:
     """Handles heartbeats.
 
     :param feed: takes each event.
@@ -26,25 +26,25 @@
     def __init__(
         self,
         service: str,
-        feed: Callable[[object], None],
-        warn: Callable[[MalformedHeartbeatError], None],
+        on_event: Callable[[object], None],
+        on_malformed: Callable[[MalformedHeartbeatError], None],
     ) -> None:
         self.service = service
-        self.feed = feed
-        self.warn = warn
+        self.on_event = on_event
+        self.on_malformed = on_malformed
 
     async def handle(self, request: BaseRequest) -> Response:
         """Answer one request."""
         if not request.path.startswith(INSTANCES_PATH):
-            return reply(404, {})
+            return json_response(404, {})
         identifier = request.path[len(INSTANCES_PATH) :]
         if request.method == "DELETE":
-            self.feed(Departed(identifier))
-            return reply(200, {})
+            self.on_event(Departed(identifier))
+            return json_response(200, {})
         try:
             worker = read_heartbeat(identifier, await request.read(), self.service)
         except MalformedHeartbeatError as error:
-            self.warn(error)
-            return reply(400, {"code": error.code, "reason": error.show()})
-        self.feed(Announced(worker))
-        return reply(200, {})
+            self.on_malformed(error)
+            return json_response(400, {"code": error.code, "reason": error.show()})
+        self.on_event(Announced(worker))
+        return json_response(200, {})
--- a/src/cactuswalk/platform/callers.py
+++ b/src/cactuswalk/platform/callers.py
@@ -12,25 +12,25 @@
 from cactuswalk.errors import CactuswalkError
 from cactuswalk.platform.jobs import (
     UnsupportedJobError,
-    is_identifier,
+    is_job_identifier,
     read_job,
 )
 
-__all__ = ["CallerEdge", "JobAnswer", "JobDoor"]
+__all__ = ["CallerHandler", "JobResult", "JobBackend"]
 
 # How long the caller waits, in milliseconds.
 DEADLINE_HEADER = "X-Deadline-Ms"
 # Where a caller doesn't say: longer than callers usually wait.
 DEFAULT_WAIT_SECONDS = 6.0
 
-STATES = {JobVerdict.COMPLETED: "completed", JobVerdict.FAILED: "failed"}
+STATE_NAMES = {JobVerdict.COMPLETED: "completed", JobVerdict.FAILED: "failed"}
 
 # A job that has not run may be handed in elsewhere; after the other the platform's
 # callers send it again, since nobody knows what has run.
-STATUSES = {JobVerdict.NOT_RUN: 503, JobVerdict.UNFINISHED: 504}
+HTTP_STATUSES = {JobVerdict.NOT_RUN: 503, JobVerdict.UNFINISHED: 504}
 
 
-class JobAnswer(msgspec.Struct):
+class JobResult(msgspec.Struct):
     """How a job ended, for the caller who waits."""
 
     verdict: JobVerdict
@@ -38,7 +38,7 @@
     retry_after: float
 
 
-class JobDoor(Protocol):
+class JobBackend(Protocol):
     """What the edge hands requests to."""
 
     def queues(self) -> Queues | None:
@@ -46,102 +46,114 @@
 
     async def submit(
         self, queue: Queue, request: JobRequest, wait_seconds: float
-    ) -> JobAnswer:
+    ) -> JobResult:
         """Wait for the end of a job; cancelled if its caller leaves."""
 
     def cancel(self, job: str) -> bool:
         """Cancel a job; return whether it was known."""
 
-    def queued(self, queue: Queue) -> int:
+    def count_queued(self, queue: Queue) -> int:
         """Return how many jobs of a queue wait."""
 
     def is_stopping(self) -> bool:
         """Return whether connections are to be given up."""
 
 
-class CallerEdge:
+class CallerHandler:
     """Handles requests of callers."""
 
-    def __init__(self, door: JobDoor) -> None:
-        self.door = door
+    def __init__(self, backend: JobBackend) -> None:
+        self.backend = backend
 
     async def handle(self, request: BaseRequest) -> Response:
         """Answer one request."""
         response = await self._respond(request)
-        if self.door.is_stopping():
+        if self.backend.is_stopping():
             response.force_close()
         return response
 
     async def _respond(self, request: BaseRequest) -> Response:
-        queues = self.door.queues()
+        queues = self.backend.queues()
         if queues is None:
-            return refusal(503, "no_configuration", "there is no configuration yet", 1)
+            return error_response(
+                503, "no_configuration", "there is no configuration yet", 1
+            )
         queue = queues.find(request.headers.get("Host", ""), request.path)
         if queue is None:
-            return refusal(404, "no_such_queue", "no queue has this host and path")
-        name = request.path[len(queue.prefix) :]
-        if not name and request.method == "GET":
-            return reply(200, {"queued_count": self.door.queued(queue)})
-        if not is_identifier(name):
-            return refusal(400, "malformed_job", "the path ends in no job's identifier")
+            return error_response(
+                404, "no_such_queue", "no queue has this host and path"
+            )
+        job_id = request.path[len(queue.prefix) :]
+        if not job_id and request.method == "GET":
+            return json_response(
+                200, {"queued_count": self.backend.count_queued(queue)}
+            )
+        if not is_job_identifier(job_id):
+            return error_response(
+                400, "malformed_job", "the path ends in no job's identifier"
+            )
         if request.method == "POST":
-            return await self._submit(request, queue, name, queues.body_bytes)
-        if request.method == "DELETE" and self.door.cancel(name):
-            return reply(200, {})
+            return await self._submit(request, queue, job_id, queues.body_bytes)
+        if request.method == "DELETE" and self.backend.cancel(job_id):
+            return json_response(200, {})
         if request.method in ("GET", "DELETE"):
-            return refusal(410, "no_such_job", "no such job is kept")
-        return refusal(405, "method", "use GET, POST or DELETE")
+            return error_response(410, "no_such_job", "no such job is kept")
+        return error_response(405, "method", "use GET, POST or DELETE")
 
     async def _submit(
-        self, request: BaseRequest, queue: Queue, name: str, limit: int
+        self, request: BaseRequest, queue: Queue, job_id: str, limit: int
     ) -> Response:
         if (request.content_length or 0) > limit:
-            return refusal(413, "too_large", f"a body has at most {limit} bytes")
+            return error_response(413, "too_large", f"a body has at most {limit} bytes")
         body = await request.read()
         if len(body) > limit:
-            return refusal(413, "too_large", f"a body has at most {limit} bytes")
+            return error_response(413, "too_large", f"a body has at most {limit} bytes")
         try:
-            job = read_job(name, body)
+            job = read_job(job_id, body)
         except UnsupportedJobError as error:
-            return refusal(503, error.code, error.show(), 10)
+            return error_response(503, error.code, error.show(), 10)
         except CactuswalkError as error:
-            return refusal(400, error.code, error.show())
-        answer = await self.door.submit(queue, job, _wait_seconds(request))
-        if answer.verdict in STATES:
-            return reply(200, {"state": STATES[answer.verdict]})
-        status = STATUSES[answer.verdict]
-        return refusal(status, answer.verdict.value, answer.reason, answer.retry_after)
+            return error_response(400, error.code, error.show())
+        result = await self.backend.submit(queue, job, _read_wait_seconds(request))
+        if result.verdict in STATE_NAMES:
+            return json_response(200, {"state": STATE_NAMES[result.verdict]})
+        status = HTTP_STATUSES[result.verdict]
+        return error_response(
+            status, result.verdict.value, result.reason, result.retry_after
+        )
 
 
-def _wait_seconds(request: BaseRequest) -> float:
+def _read_wait_seconds(request: BaseRequest) -> float:
     try:
         return float(request.headers[DEADLINE_HEADER]) / 1000
     except (KeyError, ValueError):
         return DEFAULT_WAIT_SECONDS
 
 
-def reply(status: int, body: dict) -> Response:
+def json_response(status: int, body: dict) -> Response:
     """Return a response with a JSON body."""
     return Response(
         status=status, body=msgspec.json.encode(body), content_type="application/json"
     )
 
 
-def refusal(status: int, code: str, reason: str, retry_after: float = 0) -> Response:
+def error_response(
+    status: int, code: str, reason: str, retry_after: float = 0
+) -> Response:
     """Return a refusal with its code and, for one that may pass, when to return."""
-    response = reply(status, {"code": code, "reason": reason})
+    response = json_response(status, {"code": code, "reason": reason})
     if retry_after:
         response.headers["Retry-After"] = str(int(retry_after))
     return response
 
 
-def readiness_handler(is_ready: Callable[[], Awaitable[bool]]):
+def make_readiness_handler(is_ready: Callable[[], Awaitable[bool]]):
     """Return the handler that the balancer asks.
 
     :param is_ready: tells whether new callers should come; may take its time.
     """
 
     async def handle(request: BaseRequest) -> Response:
-        return reply(200 if await is_ready() else 503, {})
+        return json_response(200 if await is_ready() else 503, {})
 
     return handle
--- a/src/cactuswalk/platform/gate.py
+++ b/src/cactuswalk/platform/calllimiter.py
@@ -13,10 +13,10 @@
 from cactuswalk.decisions.callbudget import CallBudget
 from cactuswalk.platform.errors import UnavailableError
 
-__all__ = ["Gate", "Passage"]
+__all__ = ["CallLimiter", "CallPermit"]
 
 
-class Passage:
+class CallPermit:
     """One call on its way; ``timeout`` is what it may take."""
 
     __slots__ = ("probe", "started", "timeout")
@@ -27,7 +27,7 @@
         self.probe = probe
 
 
-class Gate:
+class CallLimiter:
     """Let calls pass as budget and back-off allow.
 
     :param shortest_timeout: time-out of a call while the service is well.
@@ -36,22 +36,22 @@
     def __init__(
         self,
         budget: CallBudget,
-        shortest_timeout: float,
+        min_timeout: float,
         clock: collections.abc.Callable[[], float],
         generator: random.Random,
         count: collections.abc.Callable[[str], None],
     ) -> None:
         self.budget = budget
         self.backoff = Backoff()
-        self.shortest_timeout = shortest_timeout
-        self.timeout = shortest_timeout
+        self.min_timeout = min_timeout
+        self.timeout = min_timeout
         self.clock = clock
         self.generator = generator
         self.count = count
         self.probing = False
         self.probe_ended = asyncio.Event()
 
-    async def enter(self, cost: float, deadline: float) -> Passage:
+    async def acquire(self, cost: float, deadline: float) -> CallPermit:
         """Wait for a passage; the call itself may then run past the deadline.
 
         :raises UnavailableError: if there is none before the deadline; then
@@ -72,42 +72,42 @@
             await asyncio.sleep(pause)
         self.budget.spend(cost, now)
         self.probing = self.backoff.failures > 0
-        return Passage(now, self.timeout, self.probing)
+        return CallPermit(now, self.timeout, self.probing)
 
-    def succeeded(self, passage: Passage) -> None:
+    def record_success(self, permit: CallPermit) -> None:
         """Take note that a call was answered."""
         now = self.clock()
         self.timeout = adapt_timeout(
-            self.shortest_timeout, passage.timeout, now - passage.started
+            self.min_timeout, permit.timeout, now - permit.started
         )
         if self.backoff.failures:
             self.budget.shrink(now)
         self.backoff.record_success()
-        self._end_probe(passage)
+        self._end_probe(permit)
 
-    def failed(self, passage: Passage, timed_out: bool) -> None:
+    def record_failure(self, permit: CallPermit, timed_out: bool) -> None:
         """Take note that a call was not answered."""
         now = self.clock()
         if timed_out:
-            self.timeout = adapt_timeout(self.shortest_timeout, passage.timeout, None)
-        self.backoff.record_failure(passage.started, now, self.generator)
-        self._end_probe(passage)
+            self.timeout = adapt_timeout(self.min_timeout, permit.timeout, None)
+        self.backoff.record_failure(permit.started, now, self.generator)
+        self._end_probe(permit)
 
-    def abandoned(self, passage: Passage) -> None:
+    def release(self, permit: CallPermit) -> None:
         """Take note that nobody waits for a call's answer any more."""
-        self._end_probe(passage)
+        self._end_probe(permit)
 
-    def _end_probe(self, passage: Passage) -> None:
+    def _end_probe(self, permit: CallPermit) -> None:
         # Ended once only: by the second time the probe may be another call's.
-        if passage.probe:
-            passage.probe = False
+        if permit.probe:
+            permit.probe = False
             self.probing = False
             self.probe_ended.set()
             self.probe_ended = asyncio.Event()
 
     async def _wait_for_probe(self, seconds: float) -> None:
         try:
-            async with asyncio.timeout(min(seconds, MAXIMUM_SLEEP_SECONDS)):
+            async with asyncio.timeout(min(seconds, MAX_SLEEP_SECONDS)):
                 await self.probe_ended.wait()
         except TimeoutError:
             return
@@ -123,4 +123,4 @@
 
 
 # A watch waits without a deadline, and a timer can't be set to infinity.
-MAXIMUM_SLEEP_SECONDS = 60.0
+MAX_SLEEP_SECONDS = 60.0
--- a/src/cactuswalk/platform/configuration.py
+++ b/src/cactuswalk/platform/configuration.py
@@ -10,7 +10,7 @@
 # Where the platform's limits don't say.
 DEFAULT_BODY_BYTES = 262_144
 DEFAULT_ATTEMPTS = 1
-DEFAULT_STRETCH = 1.0
+DEFAULT_STRETCH_FACTOR = 1.0
 
 
 class UnreadableConfigurationError(PlatformError):
@@ -28,7 +28,7 @@
     service: str
     priority: int = 0
     max_attempts: int = DEFAULT_ATTEMPTS
-    stretch_factor: float = DEFAULT_STRETCH
+    stretch_factor: float = DEFAULT_STRETCH_FACTOR
     target_latency_ms: float = 0
 
 
--- a/src/cactuswalk/platform/connection.py
+++ b/src/cactuswalk/platform/connection.py
@@ -13,16 +13,16 @@
 
 # Statuses of the gateway for calls that it has certainly not carried out:
 # malformed, no or wrong token, no right, no such lease, not implemented.
-CERTAIN_REFUSALS = frozenset({400, 401, 403, 404, 501})
+NOT_EXECUTED_STATUSES = frozenset({400, 401, 403, 404, 501})
 
 # One call at a time to probe with, a few side by side, and the watch.
-CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 
 
 class Connection(typing.Protocol):
     """The network, as this package uses it; tests put a fake in its place."""
 
-    async def call(self, path: str, body: bytes, within: float) -> bytes:
+    async def call(self, path: str, body: bytes, timeout_seconds: float) -> bytes:
         """Return the body of an answer that came ``within`` seconds.
 
         :raises CallFailedError: if there was none.
@@ -31,7 +31,7 @@
         ...
 
     def stream(
-        self, path: str, body: bytes, within: float
+        self, path: str, body: bytes, timeout_seconds: float
     ) -> collections.abc.AsyncGenerator[bytes, None]:
         """Yield the answer as it comes; ``within`` holds until it begins."""
         ...
@@ -51,42 +51,42 @@
 
     def __init__(self, endpoints: list[str], client_name: str, token: str = "") -> None:
         self.endpoints = [endpoint.rstrip("/") for endpoint in endpoints]
-        self.chosen = 0
+        self.endpoint_index = 0
         self.headers = {"X-Client-Name": client_name}
         if token:
             self.headers["Authorization"] = token
         self.session: aiohttp.ClientSession | None = None
 
-    async def call(self, path: str, body: bytes, within: float) -> bytes:
+    async def call(self, path: str, body: bytes, timeout_seconds: float) -> bytes:
         """Return the body of an answer."""
-        limit = aiohttp.ClientTimeout(total=within)
-        endpoint = self.chosen
+        limit = aiohttp.ClientTimeout(total=timeout_seconds)
+        endpoint = self.endpoint_index
         try:
             async with self._post(path, body, limit) as response:
                 data = await response.read()
         except (aiohttp.ClientError, OSError) as error:
-            raise self._failure(path, error, endpoint) from error
-        _check(path, response.status, data)
+            raise self._fail_over(path, error, endpoint) from error
+        _raise_for_status(path, response.status, data)
         return data
 
     async def stream(
-        self, path: str, body: bytes, within: float
+        self, path: str, body: bytes, timeout_seconds: float
     ) -> collections.abc.AsyncGenerator[bytes, None]:
         """Yield the answer as it comes, in pieces of any size."""
         limit = aiohttp.ClientTimeout(total=None)
-        endpoint = self.chosen
+        endpoint = self.endpoint_index
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_seconds):
                 response = await self._post(path, body, limit)
         except (aiohttp.ClientError, OSError) as error:
-            raise self._failure(path, error, endpoint) from error
+            raise self._fail_over(path, error, endpoint) from error
         try:
             if response.status != 200:
-                _check(path, response.status, await response.read())
+                _raise_for_status(path, response.status, await response.read())
             async for piece in response.content.iter_any():
                 yield piece
         except (aiohttp.ClientError, OSError) as error:
-            raise self._failure(path, error, endpoint) from error
+            raise self._fail_over(path, error, endpoint) from error
         finally:
             # A watch never ends by itself: the connection can't be used again.
             response.close()
@@ -99,18 +99,18 @@
 
     def _post(self, path: str, body: bytes, limit: aiohttp.ClientTimeout) -> typing.Any:
         if self.session is None:
-            connector = aiohttp.TCPConnector(limit=CONNECTIONS)
+            connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
             self.session = aiohttp.ClientSession(
                 connector=connector, headers=self.headers
             )
-        url = self.endpoints[self.chosen] + path
+        url = self.endpoints[self.endpoint_index] + path
         return self.session.post(url, data=body, timeout=limit)
 
-    def _failure(self, path: str, error: Exception, endpoint: int) -> CallFailedError:
+    def _fail_over(self, path: str, error: Exception, endpoint: int) -> CallFailedError:
         # Only the call that met the failure moves on: of several that fail
         # together the second would come back to the broken endpoint.
-        if endpoint == self.chosen:
-            self.chosen = (endpoint + 1) % len(self.endpoints)
+        if endpoint == self.endpoint_index:
+            self.endpoint_index = (endpoint + 1) % len(self.endpoints)
         # Only a connection that never was carries no request. A connection that
         # broke, or an answer that didn't come, leaves it open what was done.
         sent = not isinstance(error, aiohttp.ClientConnectorError)
@@ -120,11 +120,11 @@
         return CallFailedError(text, sent, timed_out)
 
 
-def _check(path: str, status: int, data: bytes) -> None:
+def _raise_for_status(path: str, status: int, data: bytes) -> None:
     if status == 200:
         return
     text = data[:200].decode(errors="replace")
-    if status not in CERTAIN_REFUSALS:
+    if status not in NOT_EXECUTED_STATUSES:
         # 5xx: the request may have been carried out behind a gateway that gave
         # up on it, as etcd's own "request timed out" may.
         raise CallFailedError(f"{path} ended in {status}: {text}", sent=True)
--- a/src/cactuswalk/platform/heartbeats.py
+++ b/src/cactuswalk/platform/heartbeats.py
@@ -50,31 +50,31 @@
     :raises MalformedHeartbeatError: if it names no worker to use.
     """
     try:
-        beat = _decoder.decode(body)
+        heartbeat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise MalformedHeartbeatError(
             f"the heartbeat of {identifier!r} can't be read: {error}",
             "Look for another program that writes to this address.",
         ) from error
-    if beat.state not in (READY, DRAINING) or not identifier:
+    if heartbeat.state not in (READY, DRAINING) or not identifier:
         raise MalformedHeartbeatError(
-            f"the heartbeat of {identifier!r} has the state {beat.state!r}",
+            f"the heartbeat of {identifier!r} has the state {heartbeat.state!r}",
             f"A worker is {READY} or {DRAINING}.",
         )
-    if service and beat.service != service:
+    if service and heartbeat.service != service:
         raise MalformedHeartbeatError(
-            f"the heartbeat of {identifier!r} names the service {beat.service!r}",
+            f"the heartbeat of {identifier!r} names the service {heartbeat.service!r}",
             f"The worker on this host belongs to {service!r}.",
         )
     return Worker(
         identifier,
-        beat.service,
-        beat.zone,
-        tuple(beat.labels),
-        beat.capacity.cpu,
-        beat.capacity.mem_mb,
-        beat.capacity.gpu,
-        beat.state == DRAINING,
-        int(beat.remaining_ms),
-        beat.sequence,
+        heartbeat.service,
+        heartbeat.zone,
+        tuple(heartbeat.labels),
+        heartbeat.capacity.cpu,
+        heartbeat.capacity.mem_mb,
+        heartbeat.capacity.gpu,
+        heartbeat.state == DRAINING,
+        int(heartbeat.remaining_ms),
+        heartbeat.sequence,
     )
--- a/src/cactuswalk/platform/jobs.py
+++ b/src/cactuswalk/platform/jobs.py
@@ -7,12 +7,12 @@
 from cactuswalk.dispatch.job import JobRequest, Step
 from cactuswalk.errors import CactuswalkError
 
-__all__ = ["MalformedJobError", "UnsupportedJobError", "is_identifier", "read_job"]
+__all__ = ["MalformedJobError", "UnsupportedJobError", "is_job_identifier", "read_job"]
 
-IDENTIFIER = re.compile(r"[0-9a-fA-F]{16}")
-MOST_SPEC_BYTES = 4_000
+JOB_IDENTIFIER = re.compile(r"[0-9a-fA-F]{16}")
+MAX_SPEC_BYTES = 4_000
 # A bound of this product's own: one job must not fill an entry's memory.
-MOST_TASKS = 10_000
+MAX_TASKS = 10_000
 
 
 class MalformedJobError(CactuswalkError):
@@ -66,9 +66,9 @@
 _decoder = msgspec.json.Decoder(JobBody)
 
 
-def is_identifier(text: str) -> bool:
+def is_job_identifier(text: str) -> bool:
     """Return whether a text can name a job."""
-    return IDENTIFIER.fullmatch(text) is not None
+    return JOB_IDENTIFIER.fullmatch(text) is not None
 
 
 def read_job(identifier: str, body: bytes) -> JobRequest:
@@ -83,20 +83,20 @@
         raise MalformedJobError(
             f"the body is no job: {error}", "Send a job as the platform's pages say."
         ) from error
-    _check(job)
+    _validate_job(job)
     steps = tuple(_read_step(step) for step in job.steps)
     return JobRequest(identifier, job.spec, steps)
 
 
-def _check(job: JobBody) -> None:
-    if len(job.spec.encode()) > MOST_SPEC_BYTES:
-        _refuse("spec", f"has over {MOST_SPEC_BYTES} bytes", "Shorten it.")
+def _validate_job(job: JobBody) -> None:
+    if len(job.spec.encode()) > MAX_SPEC_BYTES:
+        _raise_malformed("spec", f"has over {MAX_SPEC_BYTES} bytes", "Shorten it.")
     if not job.steps:
-        _refuse("steps", "is empty", "Give at least one step.")
-    if sum(max(0, step.count) for step in job.steps) > MOST_TASKS:
-        _refuse("steps", f"have over {MOST_TASKS} tasks", "Split the job.")
+        _raise_malformed("steps", "is empty", "Give at least one step.")
+    if sum(max(0, step.count) for step in job.steps) > MAX_TASKS:
+        _raise_malformed("steps", f"have over {MAX_TASKS} tasks", "Split the job.")
     for number, step in enumerate(job.steps):
-        _check_step(number, step)
+        _validate_step(number, step)
     if not job.best_effort:
         raise UnsupportedJobError(
             "jobs that have to be kept are not supported yet",
@@ -109,22 +109,28 @@
         )
 
 
-def _check_step(number: int, step: StepBody) -> None:
-    place = f"steps[{number}]"
+def _validate_step(number: int, step: StepBody) -> None:
+    step_path = f"steps[{number}]"
     if step.count < 1:
-        _refuse(f"{place}.count", "is below 1", "Give the number of tasks.")
+        _raise_malformed(
+            f"{step_path}.count", "is below 1", "Give the number of tasks."
+        )
     if min(step.cpu, step.mem_mb, step.gpu, step.anti_affinity) < 0:
-        _refuse(place, "asks for a negative size", "Give sizes of 0 or more.")
+        _raise_malformed(
+            step_path, "asks for a negative size", "Give sizes of 0 or more."
+        )
     if any(not 0 <= earlier < number for earlier in step.after):
-        _refuse(f"{place}.after", "names no earlier step", "Name earlier steps.")
+        _raise_malformed(
+            f"{step_path}.after", "names no earlier step", "Name earlier steps."
+        )
     if step.gang or step.same_rack or step.utilization:
         raise UnsupportedJobError(
-            f"{place}: tasks that have to run together are not supported yet",
+            f"{step_path}: tasks that have to run together are not supported yet",
             "Send the job to another dispatcher.",
         )
 
 
-def _refuse(field: str, reason: str, remedy: str) -> None:
+def _raise_malformed(field: str, reason: str, remedy: str) -> None:
     raise MalformedJobError(f"{field} {reason}", remedy)
 
 
--- a/src/cactuswalk/platform/keyvalue.py
+++ b/src/cactuswalk/platform/keyvalue.py
@@ -25,7 +25,7 @@
     WriteIdMissingError,
 )
 from cactuswalk.platform.leases import Lease
-from cactuswalk.platform.store import KeyValueStore, Listed
+from cactuswalk.platform.store import KeyValueStore, ListedKey
 from cactuswalk.platform.watch import Change, Changes
 
 __all__ = [
@@ -39,7 +39,7 @@
     "KeyValueStore",
     "Lease",
     "LeaseLapsedError",
-    "Listed",
+    "ListedKey",
     "PlatformError",
     "RevisionWentBackError",
     "UnavailableError",
--- a/src/cactuswalk/platform/leases.py
+++ b/src/cactuswalk/platform/leases.py
@@ -14,11 +14,11 @@
 __all__ = ["Lease", "Leases"]
 
 # gRPC's FAILED_PRECONDITION, which etcd answers for an identifier in use.
-ALREADY_EXISTS = 9
+FAILED_PRECONDITION = 9
 
 # Identifiers are drawn from 62 bits: positive as an int64, and no two of a
 # fleet's leases meet by accident.
-IDENTIFIER_BITS = 62
+LEASE_ID_BITS = 62
 
 
 class Lease(msgspec.Struct, frozen=True):
@@ -29,7 +29,7 @@
 
     identifier: int
     ttl_seconds: int
-    expires: float
+    expires_at: float
 
 
 class Leases:
@@ -49,15 +49,15 @@
         :raises UnavailableError: if there was no answer in time; a lease that
             was granted all the same ends by itself.
         """
-        identifier = self.store.generator.getrandbits(IDENTIFIER_BITS) | 1
-        request = protocol.grant_request(identifier, ttl_seconds)
+        identifier = self.store.generator.getrandbits(LEASE_ID_BITS) | 1
+        request = protocol.encode_grant_request(identifier, ttl_seconds)
         sent = self.store.clock()
         try:
-            reply = await self.store.request(
-                protocol.GRANT, request, protocol.LeaseReply, WRITE_COST
+            reply = await self.store.call_with_retries(
+                protocol.GRANT_PATH, request, protocol.LeaseReply, WRITE_COST
             )
         except CallRefusedError as error:
-            if error.reason != ALREADY_EXISTS:
+            if error.reason != FAILED_PRECONDITION:
                 raise
             # An earlier copy of this call was carried out and its reply lost.
             return Lease(identifier, ttl_seconds, sent + ttl_seconds)
@@ -72,19 +72,19 @@
             stands until it expires.
         """
         sent = self.store.clock()
-        if sent >= lease.expires:
+        if sent >= lease.expires_at:
             # The service may still know it, but whoever stopped believing in it
             # must not start again without looking at what has changed since.
-            raise self._lapsed(lease)
-        request = protocol.keep_alive_request(lease.identifier)
-        reply = await self.store.request(
-            protocol.KEEP_ALIVE, request, protocol.KeepAliveReply, READ_COST
+            raise self._lapsed_error(lease)
+        request = protocol.encode_keep_alive_request(lease.identifier)
+        reply = await self.store.call_with_retries(
+            protocol.KEEP_ALIVE_PATH, request, protocol.KeepAliveReply, READ_COST
         )
-        if reply.result.ttl <= 0 or self.store.clock() >= lease.expires:
-            raise self._lapsed(lease)
+        if reply.result.ttl <= 0 or self.store.clock() >= lease.expires_at:
+            raise self._lapsed_error(lease)
         return Lease(lease.identifier, reply.result.ttl, sent + reply.result.ttl)
 
-    def _lapsed(self, lease: Lease) -> LeaseLapsedError:
+    def _lapsed_error(self, lease: Lease) -> LeaseLapsedError:
         self.store.count("platform.lease.lapsed")
         return LeaseLapsedError(
             f"lease {lease.identifier} has ended",
--- a/src/cactuswalk/platform/metadata.py
+++ b/src/cactuswalk/platform/metadata.py
@@ -15,10 +15,10 @@
 
 __all__ = ["Item", "ItemChange", "MetadataStore", "Watched"]
 
-CONNECTIONS = 4
+MAX_CONNECTIONS = 4
 
 # An answer takes 4 ms; a store that is sixty times slower is still heard.
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 # Past the time that a watch may wait, its answer has to travel.
 WATCH_SLACK_SECONDS = 1.0
 
@@ -90,16 +90,18 @@
         status, reply = await self._call("GET", "/v1/kv-key", {"key": key})
         if status == 404:
             return reply.as_of, None
-        return reply.as_of, Item(key, _unpack(reply.value), reply.revision)
+        return reply.as_of, Item(key, _decode_value(reply.value), reply.revision)
 
-    async def list(self, prefix: str, stale: bool = False) -> tuple[int, list[Item]]:
+    async def list(
+        self, prefix: str, allow_stale: bool = False
+    ) -> tuple[int, list[Item]]:
         """Return the store's revision, and all keys that begin with a prefix.
 
         :param stale: take an answer that may be seconds old, at a tenth.
         """
         items: list[Item] = []
         query = {"path_prefix": prefix}
-        if stale:
+        if allow_stale:
             query["serializable"] = "1"
         revision = 0
         while True:
@@ -108,7 +110,7 @@
             # begins at the first page's revision.
             revision = revision or reply.as_of
             items.extend(
-                Item(item.key, _unpack(item.value), item.revision)
+                Item(item.key, _decode_value(item.value), item.revision)
                 for item in reply.items
             )
             if not reply.has_more or not reply.items:
@@ -125,8 +127,10 @@
             "after": str(after),
             "wait_ms": str(int(wait_seconds * 1000)),
         }
-        within = wait_seconds + WATCH_SLACK_SECONDS
-        status, reply = await self._call("GET", "/v1/kv-watch", query, within=within)
+        timeout_seconds = wait_seconds + WATCH_SLACK_SECONDS
+        status, reply = await self._call(
+            "GET", "/v1/kv-watch", query, timeout_seconds=timeout_seconds
+        )
         if status == 410:
             raise HistoryCompactedError(
                 f"the changes of {prefix!r} after {after} are gone",
@@ -135,7 +139,7 @@
         changes = [
             ItemChange(
                 event.key,
-                None if event.deleted else _unpack(event.value),
+                None if event.deleted else _decode_value(event.value),
                 event.revision,
             )
             for event in reply.events
@@ -151,7 +155,7 @@
         body = {"expected_revision": [], "puts": [put], "remove": []}
         status, _ = await self._call("POST", "/v1/kv-txn", body=body)
         if status == 404:
-            raise _lapsed(lease)
+            raise _lapsed_error(lease)
 
     async def grant(self, seconds: float) -> int:
         """Grant a lease, and return its number."""
@@ -166,9 +170,9 @@
         """
         status, _ = await self._call("POST", f"/v1/kv-keep/{lease}")
         if status == 404:
-            raise _lapsed(lease)
+            raise _lapsed_error(lease)
 
-    async def end(self, lease: int) -> None:
+    async def revoke(self, lease: int) -> None:
         """End a lease; its keys go with it."""
         await self._call("DELETE", f"/v1/kv-lease-end/{lease}")
 
@@ -184,16 +188,16 @@
         path: str,
         query: dict[str, str] | None = None,
         body: dict | None = None,
-        within: float = CALL_SECONDS,
+        timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> tuple[int, ReplyBody]:
         if self.session is None:
-            connector = aiohttp.TCPConnector(limit=CONNECTIONS)
+            connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
             self.session = aiohttp.ClientSession(connector=connector)
         data = None if body is None else msgspec.json.encode(body)
         headers = {"Content-Type": "application/json"} if data else None
         url = f"http://{self.address}{path}"
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_seconds):
                 async with self.session.request(
                     method, url, params=query, data=data, headers=headers
                 ) as response:
@@ -204,15 +208,15 @@
             raise CallFailedError(f"{path} failed: {error!r}", sent, timed_out) from (
                 error
             )
-        return response.status, _read(path, response.status, text)
+        return response.status, _decode_reply(path, response.status, text)
 
 
 # Answers that say something about the key, the lease or the history asked for.
-MEANINGFUL = frozenset({200, 404, 410, 412})
+EXPECTED_STATUSES = frozenset({200, 404, 410, 412})
 
 
-def _read(path: str, status: int, text: bytes) -> ReplyBody:
-    if status not in MEANINGFUL:
+def _decode_reply(path: str, status: int, text: bytes) -> ReplyBody:
+    if status not in EXPECTED_STATUSES:
         # 429 and 503 promise that nothing was done; others are not foreseen.
         raise CallRefusedError(f"{path} ended in {status}", status, 0)
     try:
@@ -221,9 +225,9 @@
         raise CallFailedError(f"{path}: no JSON of the store", sent=True) from error
 
 
-def _unpack(value: str) -> bytes:
+def _decode_value(value: str) -> bytes:
     return base64.b64decode(value)
 
 
-def _lapsed(lease: int) -> LeaseLapsedError:
+def _lapsed_error(lease: int) -> LeaseLapsedError:
     return LeaseLapsedError(f"the lease {lease} has ended", "Grant another one.")
--- a/src/cactuswalk/platform/names.py
+++ b/src/cactuswalk/platform/names.py
@@ -6,9 +6,9 @@
     "CONFIGURATION_KEY",
     "OPERATORS_PREFIX",
     "SETTINGS_VARIABLE",
-    "evacuated_data_centre",
-    "task_key",
-    "task_name",
+    "parse_evacuated_data_centre",
+    "parse_task_name",
+    "format_task_name",
 ]
 
 # Names the file with a process's settings.
@@ -27,19 +27,19 @@
 FIRST_REPETITION = "0"
 
 
-def evacuated_data_centre(key: str) -> str | None:
+def parse_evacuated_data_centre(key: str) -> str | None:
     """Return the data centre that a key asks to evacuate, or None if it doesn't."""
     if not key.startswith(EVACUATION_PREFIX):
         return None
     return key.removeprefix(EVACUATION_PREFIX) or None
 
 
-def task_name(key: TaskKey) -> str:
+def format_task_name(key: TaskKey) -> str:
     """Return a task's name as workers know it."""
     return f"{key.job}.{FIRST_REPETITION}.{key.step}.{key.index}"
 
 
-def task_key(name: str) -> TaskKey | None:
+def parse_task_name(name: str) -> TaskKey | None:
     """Return the task of a name, or None if it isn't of this product's making."""
     parts = name.split(".")
     if len(parts) != 4 or parts[1] != FIRST_REPETITION:
--- a/src/cactuswalk/platform/protocol.py
+++ b/src/cactuswalk/platform/protocol.py
@@ -11,12 +11,12 @@
 from cactuswalk.platform.errors import CallFailedError
 
 __all__ = [
-    "GRANT",
-    "KEEP_ALIVE",
-    "MAXIMUM_VALUE_BYTES",
-    "RANGE",
-    "TRANSACTION",
-    "WATCH",
+    "GRANT_PATH",
+    "KEEP_ALIVE_PATH",
+    "MAX_VALUE_BYTES",
+    "RANGE_PATH",
+    "TRANSACTION_PATH",
+    "WATCH_PATH",
     "ErrorReply",
     "KeepAliveReply",
     "KeyValue",
@@ -28,24 +28,24 @@
     "WatchReply",
     "WatchResult",
     "decode",
-    "grant_request",
-    "keep_alive_request",
+    "encode_grant_request",
+    "encode_keep_alive_request",
     "prefix_end",
-    "range_request",
-    "swap_request",
-    "watch_request",
+    "encode_range_request",
+    "encode_swap_request",
+    "encode_watch_request",
 ]
 
 Kind = typing.TypeVar("Kind")
 
 # The brief: the platform's service holds values up to a megabyte.
-MAXIMUM_VALUE_BYTES = 1 << 20
+MAX_VALUE_BYTES = 1 << 20
 
-RANGE = "/v3/kv/range"
-TRANSACTION = "/v3/kv/txn"
-GRANT = "/v3/lease/grant"
-KEEP_ALIVE = "/v3/lease/keepalive"
-WATCH = "/v3/watch"
+RANGE_PATH = "/v3/kv/range"
+TRANSACTION_PATH = "/v3/kv/txn"
+GRANT_PATH = "/v3/lease/grant"
+KEEP_ALIVE_PATH = "/v3/lease/keepalive"
+WATCH_PATH = "/v3/watch"
 
 
 class Header(msgspec.Struct):
@@ -157,18 +157,18 @@
 
 def prefix_end(prefix: bytes) -> bytes:
     """Return the end of the range of all keys that begin with a prefix."""
-    for place in range(len(prefix) - 1, -1, -1):
-        if prefix[place] < 0xFF:
-            return prefix[:place] + bytes([prefix[place] + 1])
+    for index in range(len(prefix) - 1, -1, -1):
+        if prefix[index] < 0xFF:
+            return prefix[:index] + bytes([prefix[index] + 1])
     return b"\0"
 
 
-def range_request(key: bytes, range_end: bytes = b"") -> bytes:
+def encode_range_request(key: bytes, range_end: bytes = b"") -> bytes:
     """Read a key, or a range of keys."""
     return _encode({"key": key, "range_end": range_end})
 
 
-def swap_request(key: bytes, expected: int, value: bytes) -> bytes:
+def encode_swap_request(key: bytes, expected: int, value: bytes) -> bytes:
     """Write a key if its last change has the expected revision, else read it."""
     compare = {
         "key": key,
@@ -185,17 +185,17 @@
     )
 
 
-def grant_request(identifier: int, ttl_seconds: int) -> bytes:
+def encode_grant_request(identifier: int, ttl_seconds: int) -> bytes:
     """Ask for a lease under an identifier of the caller's choice."""
     return _encode({"ID": str(identifier), "TTL": str(ttl_seconds)})
 
 
-def keep_alive_request(identifier: int) -> bytes:
+def encode_keep_alive_request(identifier: int) -> bytes:
     """Renew a lease."""
     return _encode({"ID": str(identifier)})
 
 
-def watch_request(key: bytes, range_end: bytes, start_revision: int) -> bytes:
+def encode_watch_request(key: bytes, range_end: bytes, start_revision: int) -> bytes:
     """Ask for all changes at a revision and later, as they come."""
     create = {
         "key": key,
--- a/src/cactuswalk/platform/settling.py
+++ b/src/cactuswalk/platform/swapoutcome.py
@@ -19,7 +19,7 @@
 from cactuswalk.platform.protocol import KeyValue, TransactionReply, WatchEvent
 from cactuswalk.state.events import SwapOutcome
 
-__all__ = ["Verdict", "contains", "judge", "judge_history"]
+__all__ = ["Verdict", "contains_write_id", "classify_reply", "classify_history"]
 
 
 class Verdict(msgspec.Struct, frozen=True):
@@ -29,7 +29,7 @@
     revision: int
 
 
-def contains(value: bytes, write_id: str) -> bool:
+def contains_write_id(value: bytes, write_id: str) -> bool:
     """Say whether a value names a write.
 
     The id is looked for as an encoded string, in JSON and in MessagePack: by
@@ -41,7 +41,9 @@
     )
 
 
-def judge(reply: TransactionReply, write_id: str, doubtful: bool) -> Verdict | None:
+def classify_reply(
+    reply: TransactionReply, write_id: str, has_unanswered_copy: bool
+) -> Verdict | None:
     """Return the verdict that a transaction's reply allows, if it is final.
 
     :param doubtful: an earlier copy was sent and never answered.
@@ -49,15 +51,15 @@
     if reply.succeeded:
         return Verdict(SwapOutcome.APPLIED, reply.header.revision)
     current = reply.current
-    if current is not None and contains(current.value, write_id):
+    if current is not None and contains_write_id(current.value, write_id):
         return Verdict(SwapOutcome.APPLIED, current.mod_revision)
-    if not doubtful:
+    if not has_unanswered_copy:
         # The only copy was answered: it found another revision.
         return Verdict(SwapOutcome.LOST, current.mod_revision if current else 0)
     return None
 
 
-def judge_history(
+def classify_history(
     events: list[WatchEvent], current: KeyValue, write_id: str, start: int
 ) -> Verdict | None:
     """Return the verdict of a key's changes, None while some are missing.
@@ -68,7 +70,7 @@
     :param start: the first revision at which the swap could be applied.
     """
     for event in events:
-        if contains(event.kv.value, write_id):
+        if contains_write_id(event.kv.value, write_id):
             return Verdict(SwapOutcome.APPLIED, event.kv.mod_revision)
     reached = max((event.kv.mod_revision for event in events), default=start - 1)
     if reached >= current.mod_revision:
--- a/src/cactuswalk/platform/watch.py
+++ b/src/cactuswalk/platform/watch.py
@@ -26,14 +26,14 @@
 # A connection that a firewall has dropped without a word looks like a service
 # without changes. A watch that hears nothing for so long is opened again, which
 # costs a call; the few processes that watch make one each in this time.
-SILENCE_SECONDS = 15.0
+MAX_SILENCE_SECONDS = 15.0
 
 # One message of a watch holds the changes of one moment. Past this the node
 # would spend its memory on catching up; it lists instead.
-MAXIMUM_MESSAGE_BYTES = 8 << 20
+MAX_MESSAGE_BYTES = 8 << 20
 
 # Between two tries of a watch that the service refuses, by a wrong token say.
-REFUSED_PAUSE_SECONDS = 5.0
+REFUSED_RETRY_SECONDS = 5.0
 
 
 class Change(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     """
 
     revision: int
-    whole: bool
+    is_snapshot: bool
     changes: list[Change]
 
 
@@ -68,24 +68,24 @@
 
     async def changes(self) -> collections.abc.AsyncGenerator[Changes, None]:
         """Yield changes for as long as they are read."""
-        whole = self.revision == 0
+        is_snapshot = self.revision == 0
         while True:
             try:
-                if whole:
+                if is_snapshot:
                     yield await self._list()
-                    whole = False
+                    is_snapshot = False
                 name = f"{self.store.prefix}{self.prefix}".encode()
                 end = protocol.prefix_end(name)
                 async for message in self.messages(name, end, math.inf):
-                    news = self._take(message)
-                    if news is not None:
-                        yield news
+                    changes = self._extract_changes(message)
+                    if changes is not None:
+                        yield changes
             except HistoryCompactedError:
-                whole = True
+                is_snapshot = True
             except CallRefusedError:
-                await asyncio.sleep(REFUSED_PAUSE_SECONDS)
+                await asyncio.sleep(REFUSED_RETRY_SECONDS)
             except (CallFailedError, UnavailableError):
-                await self._pause()
+                await self._back_off()
 
     async def messages(
         self, key: bytes, range_end: bytes, deadline: float
@@ -96,32 +96,34 @@
         :raises UnavailableError: if it could not be opened by the deadline.
         :raises HistoryCompactedError: if changes that are asked for are gone.
         """
-        passage = await self.store.gate.enter(READ_COST, deadline)
+        permit = await self.store.call_limiter.acquire(READ_COST, deadline)
         self.store.count("platform.call.watch")
         self.opened_at = self.store.clock()
-        request = protocol.watch_request(key, range_end, self.revision + 1)
+        request = protocol.encode_watch_request(key, range_end, self.revision + 1)
         opened = False
-        pieces = self.store.connection.stream(protocol.WATCH, request, passage.timeout)
+        pieces = self.store.connection.stream(
+            protocol.WATCH_PATH, request, permit.timeout
+        )
         try:
             async with contextlib.aclosing(pieces):
-                async for line in self._lines(pieces, passage.timeout, deadline):
-                    result = _result(line)
+                async for line in self._split_lines(pieces, permit.timeout, deadline):
+                    result = _decode_result(line)
                     if not opened:
                         opened = True
-                        self.store.gate.succeeded(passage)
+                        self.store.call_limiter.record_success(permit)
                     if result.canceled:
-                        raise self._canceled(result)
+                        raise self._cancel_error(result)
                     yield result
             raise CallFailedError("the service ended a watch", sent=True)
         except CallFailedError as error:
-            self.store.note_failure("watch", error)
+            self.store.record_failure("watch", error)
             if not opened:
-                self.store.gate.failed(passage, error.timed_out)
+                self.store.call_limiter.record_failure(permit, error.timed_out)
             raise
         finally:
-            self.store.gate.abandoned(passage)
+            self.store.call_limiter.release(permit)
 
-    async def _pause(self) -> None:
+    async def _back_off(self) -> None:
         """Wait after a break, longer if the watch has hardly lived.
 
         A proxy that lets a watch open and cuts it at once looks like a service
@@ -133,7 +135,7 @@
         self.backoff.record_failure(now, now, self.store.generator)
         await asyncio.sleep(self.backoff.remaining(now))
 
-    def _take(self, message: protocol.WatchResult) -> Changes | None:
+    def _extract_changes(self, message: protocol.WatchResult) -> Changes | None:
         """Return what is new in a message, and move on to its revision."""
         if message.created:
             return None
@@ -142,23 +144,23 @@
             return None
         # The header of a message with events may be ahead of them: the rest
         # comes in the next message. Only the events' own revisions count.
-        fresh = [
+        unseen = [
             self._change(event)
             for event in message.events
             if event.kv.mod_revision > self.revision
         ]
-        if len(fresh) < len(message.events):
+        if len(unseen) < len(message.events):
             self.store.count("platform.watch.repeated")
-        if not fresh:
+        if not unseen:
             return None
-        self.revision = max(change.mod_revision for change in fresh)
-        return Changes(self.revision, False, fresh)
+        self.revision = max(change.mod_revision for change in unseen)
+        return Changes(self.revision, False, unseen)
 
     def _change(self, event: protocol.WatchEvent) -> Change:
-        gone = event.type == "DELETE"
+        deleted = event.type == "DELETE"
         return Change(
-            self.store.short_name(event.kv.key),
-            None if gone else event.kv.value,
+            self.store.strip_prefix(event.kv.key),
+            None if deleted else event.kv.value,
             event.kv.mod_revision,
         )
 
@@ -171,7 +173,7 @@
         changes = [Change(*entry) for entry in listed]
         return Changes(revision, True, changes)
 
-    async def _lines(
+    async def _split_lines(
         self,
         pieces: collections.abc.AsyncGenerator[bytes, None],
         opening_timeout: float,
@@ -190,15 +192,15 @@
                 raise CallFailedError(text, sent=True, timed_out=True) from error
             if piece is None:
                 return
-            silence = SILENCE_SECONDS
+            silence = MAX_SILENCE_SECONDS
             *lines, buffer = (buffer + piece).split(b"\n")
             for line in lines:
                 yield line
-            if len(buffer) > MAXIMUM_MESSAGE_BYTES:
+            if len(buffer) > MAX_MESSAGE_BYTES:
                 self.store.count("platform.watch.too_large")
                 raise HistoryCompactedError("a watch's message is too large")
 
-    def _canceled(self, result: protocol.WatchResult) -> Exception:
+    def _cancel_error(self, result: protocol.WatchResult) -> Exception:
         if result.compact_revision:
             self.store.count("platform.watch.compacted")
             return HistoryCompactedError(
@@ -207,7 +209,7 @@
         return CallFailedError("the service cancelled a watch", sent=True)
 
 
-def _result(line: bytes) -> protocol.WatchResult:
+def _decode_result(line: bytes) -> protocol.WatchResult:
     result = protocol.decode(line, protocol.WatchReply).result
     if result is None:
         raise CallFailedError("the service sent an error to a watch", sent=True)
--- a/src/cactuswalk/platform/worker.py
+++ b/src/cactuswalk/platform/worker.py
@@ -20,24 +20,24 @@
 )
 from cactuswalk.dispatch.bounds import CALL_TIMEOUT_SECONDS
 from cactuswalk.dispatch.effects import PollWorker, StartTask, StopTask
-from cactuswalk.platform.names import task_key, task_name
+from cactuswalk.platform.names import format_task_name, parse_task_name
 
 __all__ = ["WorkerClient"]
 
 START_PATH = "/v1/run-start"
 STOP_PATH = "/v1/run-stop"
-LOOK_PATH = "/v1/hold"
+POLL_PATH = "/v1/hold"
 
 # A call for another life of the worker is refused.
-LIFE_HEADER = "X-Expected-Instance"
-OTHER_LIFE = 421
+INSTANCE_HEADER = "X-Expected-Instance"
+MISDIRECTED_REQUEST = 421
 
 # Starts side by side; one more connection is for looks. New ones are paid for.
-CONNECTIONS = 6
+MAX_CONNECTIONS = 6
 # The worker may close an idle connection; until then it is kept.
-KEEP_SECONDS = 300.0
+KEEPALIVE_SECONDS = 300.0
 
-REFUSALS = {
+START_REFUSALS = {
     "old": StartVerdict.SUPERSEDED,
     "fence": StartVerdict.FENCED,
     "late": StartVerdict.LATE,
@@ -46,7 +46,7 @@
 
 # A gang's ends ("broken", "alone") count as lapsed: the run is over, not by its
 # own fault.
-ENDS = {"done": RunEnd.DONE, "failed": RunEnd.FAILED, "stopped": RunEnd.STOPPED}
+RUN_ENDS = {"done": RunEnd.DONE, "failed": RunEnd.FAILED, "stopped": RunEnd.STOPPED}
 
 
 class Reply(msgspec.Struct):
@@ -61,7 +61,7 @@
 _decoder = msgspec.json.Decoder(Reply)
 
 
-class CallLostError(Exception):
+class WorkerCallError(Exception):
     """A call had no usable answer.
 
     :param refused: nobody listens at the address; nothing has been sent.
@@ -87,34 +87,36 @@
         self.session: aiohttp.ClientSession | None = None
         self.urls = {
             path: yarl.URL(f"http://{address}{path}")
-            for path in (START_PATH, STOP_PATH, LOOK_PATH)
+            for path in (START_PATH, STOP_PATH, POLL_PATH)
         }
         # By worker, its clock less the agent's, in milliseconds.
-        self.offsets: dict[str, float] = {}
+        self.clock_offsets_ms: dict[str, float] = {}
 
     async def start(self, effect: StartTask) -> AgentEvent:
         """Start a task."""
         body = {
-            "task": task_name(effect.key),
+            "task": format_task_name(effect.key),
             "run": effect.run,
             "spec": effect.spec,
-            "deadline_ms": self._deadline(effect.worker, effect.lease_seconds),
+            "deadline_ms": self._worker_deadline_ms(
+                effect.worker, effect.lease_seconds
+            ),
             "fencing_token": effect.token,
         }
         try:
             status, reply = await self._call(
                 START_PATH, effect.worker, body, CALL_TIMEOUT_SECONDS
             )
-        except CallLostError as error:
+        except WorkerCallError as error:
             verdict = StartVerdict.GONE if error.refused else StartVerdict.UNKNOWN
             return StartAnswered(effect.worker, effect.handle, verdict)
-        verdict = _verdict(status, reply.reason)
+        verdict = _decode_verdict(status, reply.reason)
         return StartAnswered(effect.worker, effect.handle, verdict)
 
     async def stop(self, effect: StopTask) -> AgentEvent:
         """Stop a run, or forbid it."""
         body = {
-            "task": task_name(effect.key),
+            "task": format_task_name(effect.key),
             "run": effect.run,
             "fencing_token": effect.token,
         }
@@ -122,11 +124,11 @@
             status, _ = await self._call(
                 STOP_PATH, effect.worker, body, CALL_TIMEOUT_SECONDS
             )
-        except CallLostError:
+        except WorkerCallError:
             return StopAnswered(effect.worker, effect.handle, False)
         return StopAnswered(effect.worker, effect.handle, status == 200)
 
-    async def look(self, effect: PollWorker) -> AgentEvent:
+    async def poll(self, effect: PollWorker) -> AgentEvent:
         """Renew the lease and list what runs and what has ended."""
         sent_at = self.clock()
         body = {
@@ -134,23 +136,27 @@
             "last_seen": effect.noted,
             "wait_ms": effect.wait_ms,
         }
-        if effect.lease_seconds and effect.worker in self.offsets:
-            body["deadline_ms"] = self._deadline(effect.worker, effect.lease_seconds)
-        within = CALL_TIMEOUT_SECONDS + effect.wait_ms / 1000
+        if effect.lease_seconds and effect.worker in self.clock_offsets_ms:
+            body["deadline_ms"] = self._worker_deadline_ms(
+                effect.worker, effect.lease_seconds
+            )
+        timeout_seconds = CALL_TIMEOUT_SECONDS + effect.wait_ms / 1000
         try:
-            status, reply = await self._call(LOOK_PATH, effect.worker, body, within)
-        except CallLostError as error:
+            status, reply = await self._call(
+                POLL_PATH, effect.worker, body, timeout_seconds
+            )
+        except WorkerCallError as error:
             return PollFailed(effect.worker, False, error.refused, effect.is_check)
         if status != 200:
             fenced = reply.reason == "fence"
             return PollFailed(
-                effect.worker, fenced, status == OTHER_LIFE, effect.is_check
+                effect.worker, fenced, status == MISDIRECTED_REQUEST, effect.is_check
             )
         return PollAnswered(
             effect.worker,
             sent_at,
-            [_running(row) for row in reply.running],
-            [_ended(row) for row in reply.finished],
+            [_decode_running(row) for row in reply.running],
+            [_decode_ended(row) for row in reply.finished],
             effect.noted,
             effect.is_check,
         )
@@ -161,16 +167,20 @@
             await self.session.close()
             self.session = None
 
-    def _deadline(self, worker: str, seconds: float) -> int:
+    def _worker_deadline_ms(self, worker: str, seconds: float) -> int:
         """Return when a lease ends on the worker's clock."""
-        return int(self.clock() * 1000 + self.offsets.get(worker, 0.0) + seconds * 1000)
+        return int(
+            self.clock() * 1000
+            + self.clock_offsets_ms.get(worker, 0.0)
+            + seconds * 1000
+        )
 
     async def _call(
-        self, path: str, worker: str, body: dict, within: float
+        self, path: str, worker: str, body: dict, timeout_seconds: float
     ) -> tuple[int, Reply]:
         if self.session is None:
             connector = aiohttp.TCPConnector(
-                limit=CONNECTIONS, keepalive_timeout=KEEP_SECONDS
+                limit=MAX_CONNECTIONS, keepalive_timeout=KEEPALIVE_SECONDS
             )
             # Neither cookies nor a time-out of its own: each costs time in every call.
             self.session = aiohttp.ClientSession(
@@ -181,51 +191,53 @@
                 skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding"),
             )
         url = self.urls[path]
-        headers = {LIFE_HEADER: worker, "Content-Type": "application/json"}
+        headers = {INSTANCE_HEADER: worker, "Content-Type": "application/json"}
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_seconds):
                 async with self.session.post(
                     url, data=msgspec.json.encode(body), headers=headers
                 ) as response:
                     data = await response.read()
         except aiohttp.ClientConnectorError as error:
             refused = isinstance(error.os_error, ConnectionRefusedError)
-            raise CallLostError(refused) from error
+            raise WorkerCallError(refused) from error
         except (aiohttp.ClientError, OSError) as error:
-            raise CallLostError(False) from error
-        reply = _read(data)
-        if reply.clock_ms is not None and response.status != OTHER_LIFE:
+            raise WorkerCallError(False) from error
+        reply = _decode_reply(data)
+        if reply.clock_ms is not None and response.status != MISDIRECTED_REQUEST:
             # The clock was read before the answer arrived, so that a lease
             # reckoned from here ends early rather than late.
-            self.offsets[worker] = reply.clock_ms - self.clock() * 1000
+            self.clock_offsets_ms[worker] = reply.clock_ms - self.clock() * 1000
         return response.status, reply
 
 
-def _read(data: bytes) -> Reply:
+def _decode_reply(data: bytes) -> Reply:
     if not data:
         return Reply()
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise CallLostError(False) from error
+        raise WorkerCallError(False) from error
 
 
-def _verdict(status: int, reason: str) -> StartVerdict:
+def _decode_verdict(status: int, reason: str) -> StartVerdict:
     if status == 200:
         return StartVerdict.STARTED
     if status == 409:
-        return REFUSALS.get(reason, StartVerdict.INVALID)
+        return START_REFUSALS.get(reason, StartVerdict.INVALID)
     if status in (429, 503):
         return StartVerdict.UNHEALTHY
-    if status == OTHER_LIFE:
+    if status == MISDIRECTED_REQUEST:
         return StartVerdict.GONE
     return StartVerdict.INVALID if status == 400 else StartVerdict.UNKNOWN
 
 
-def _running(row: list) -> RunningRow:
-    return RunningRow(task_key(row[0]), row[0], row[1], row[3])
+def _decode_running(row: list) -> RunningRow:
+    return RunningRow(parse_task_name(row[0]), row[0], row[1], row[3])
 
 
-def _ended(row: list) -> EndedRow:
+def _decode_ended(row: list) -> EndedRow:
     number, name, run, how, _ = row
-    return EndedRow(number, task_key(name), run, ENDS.get(how, RunEnd.LAPSED))
+    return EndedRow(
+        number, parse_task_name(name), run, RUN_ENDS.get(how, RunEnd.LAPSED)
+    )
--- a/src/cactuswalk/runtime/dispatchagent.py
+++ b/src/cactuswalk/runtime/dispatchagent.py
@@ -17,7 +17,7 @@
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.effects import PollWorker, ReadEntries, StartTask, StopTask
 from cactuswalk.observations import Part
-from cactuswalk.platform.announcements import AnnouncementEdge
+from cactuswalk.platform.announcements import AnnouncementHandler
 from cactuswalk.platform.errors import PlatformError
 from cactuswalk.platform.worker import WorkerClient
 from cactuswalk.runtime.dispatch import DispatchHost, now
@@ -69,7 +69,7 @@
         self.application.performers |= {
             StartTask: lambda effect: self._call(self.worker.start(effect)),
             StopTask: lambda effect: self._call(self.worker.stop(effect)),
-            PollWorker: lambda effect: self._call(self.worker.look(effect)),
+            PollWorker: lambda effect: self._call(self.worker.poll(effect)),
             ReadEntries: lambda effect: self._call(self._ask_entries()),
         }
 
@@ -77,7 +77,7 @@
         """Run until a planned stop is complete."""
         signal.signal(signal.SIGHUP, lambda *_: self.host.say("settings have changed"))
         self.host.open_store()
-        edge = AnnouncementEdge(
+        edge = AnnouncementHandler(
             self.settings.service, self.application.feed, self._warn
         )
         self.host.serve(self.settings.announcements, edge.handle, self.listener)
@@ -102,7 +102,7 @@
 
     async def _ask_entries(self) -> EntriesRead:
         try:
-            _, items = await self.host.store.list(ENTRIES_PREFIX, stale=True)
+            _, items = await self.host.store.list(ENTRIES_PREFIX, allow_stale=True)
         except PlatformError as error:
             self.host.say("can't learn of entries", reason=str(error))
             return EntriesRead(None)
--- a/src/cactuswalk/runtime/dispatchentry.py
+++ b/src/cactuswalk/runtime/dispatchentry.py
@@ -28,7 +28,7 @@
 from cactuswalk.dispatch.messages import ConfigurationAsk, ConfigurationCopy
 from cactuswalk.dispatch.routing import Queue, Queues
 from cactuswalk.observations import Part
-from cactuswalk.platform.callers import CallerEdge, JobAnswer, readiness_handler
+from cactuswalk.platform.callers import CallerHandler, JobResult, make_readiness_handler
 from cactuswalk.platform.configuration import (
     UnreadableConfigurationError,
     read_configuration,
@@ -36,7 +36,7 @@
 from cactuswalk.platform.names import (
     CONFIGURATION_KEY,
     OPERATORS_PREFIX,
-    evacuated_data_centre,
+    parse_evacuated_data_centre,
 )
 from cactuswalk.runtime.dispatch import DispatchHost, now
 from cactuswalk.runtime.following import (
@@ -116,13 +116,13 @@
         """Run until a planned stop is complete."""
         signal.signal(signal.SIGHUP, lambda *_: self.host.say("settings have changed"))
         self.host.open_store()
-        ready = readiness_handler(self._becomes_ready)
+        ready = make_readiness_handler(self._becomes_ready)
         self.host.serve(self.settings.readiness, ready, self.listener)
         self.host.serve(self.settings.metrics, self.host.exposition.handler())
         self.host.open_messages()
         self.application.add_hook(self._follow_store, self._leave_store)
         # Started last and stopped first: a caller who is let in is answered.
-        self.host.serve(self.settings.callers, CallerEdge(self).handle)
+        self.host.serve(self.settings.callers, CallerHandler(self).handle)
         await self.application.run()
 
     def is_stopped(self) -> bool:
@@ -151,7 +151,7 @@
         """Return the queues in force."""
         return self.state.queues
 
-    def queued(self, queue: Queue) -> int:
+    def count_queued(self, queue: Queue) -> int:
         """Return how many jobs of a queue wait here."""
         return self.state.queued_jobs(queue.name)
 
@@ -167,11 +167,11 @@
 
     async def submit(
         self, queue: Queue, request: JobRequest, wait_seconds: float
-    ) -> JobAnswer:
+    ) -> JobResult:
         """Wait for the end of a job."""
         if self.is_closed:
             # Nothing is judged or told any more, so that it would never end.
-            return JobAnswer(JobVerdict.NOT_RUN, "this entry has stopped", 1.0)
+            return JobResult(JobVerdict.NOT_RUN, "this entry has stopped", 1.0)
         waiter = next(self.numbers)
         future = asyncio.get_running_loop().create_future()
         self.waiters[waiter] = future
@@ -188,7 +188,7 @@
         future = self.waiters.get(effect.waiter)
         if future is not None and not future.done():
             future.set_result(
-                JobAnswer(effect.verdict, effect.reason, effect.retry_after)
+                JobResult(effect.verdict, effect.reason, effect.retry_after)
             )
 
     # The store, and other entries' copies of it.
@@ -240,7 +240,7 @@
         if update.whole:
             self.evacuated.clear()
         for change in update.changes:
-            data_centre = evacuated_data_centre(change.key)
+            data_centre = parse_evacuated_data_centre(change.key)
             if data_centre is None:
                 continue
             if change.value is None:
--- a/src/cactuswalk/runtime/following.py
+++ b/src/cactuswalk/runtime/following.py
@@ -168,7 +168,7 @@
         """Give the key up at a planned stop."""
         if self.lease:
             with contextlib.suppress(PlatformError):
-                await self.store.end(self.lease)
+                await self.store.revoke(self.lease)
 
     async def _renew(self) -> None:
         if self.lease and not self.missing.is_set():
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -33,12 +33,12 @@
     LostReplyError,
     LostRequestError,
 )
-from standins.keyvalue_store import MAXIMUM_VALUE_BYTES, Store, StoreError, in_range
+from standins.keyvalue_store import MAX_VALUE_BYTES, Store, StoreError, in_range
 
 __all__ = ["KeyValueService", "main"]
 
 # A whole value in base64, and room for the request around it.
-MAXIMUM_REQUEST_BYTES = 4 * MAXIMUM_VALUE_BYTES
+MAXIMUM_REQUEST_BYTES = 4 * MAX_VALUE_BYTES
 
 # etcd counts leases in whole seconds; a tenth of one is fine enough to end them.
 LEASE_POLL_SECONDS = 0.1
--- a/standins/keyvalue_store.py
+++ b/standins/keyvalue_store.py
@@ -11,7 +11,7 @@
 import msgspec
 
 __all__ = [
-    "MAXIMUM_VALUE_BYTES",
+    "MAX_VALUE_BYTES",
     "Change",
     "Entry",
     "Lease",
@@ -20,7 +20,7 @@
 ]
 
 # The brief: the platform's service holds values up to a megabyte.
-MAXIMUM_VALUE_BYTES = 1 << 20
+MAX_VALUE_BYTES = 1 << 20
 
 
 class StoreError(Exception):
@@ -56,7 +56,7 @@
 
     identifier: int
     ttl: int
-    expires: float
+    expires_at: float
 
 
 class Store:
@@ -145,7 +145,7 @@
         lease = self.leases.get(identifier)
         if lease is None:
             return 0
-        lease.expires = now + lease.ttl
+        lease.expires_at = now + lease.ttl
         return lease.ttl
 
     def revoke(self, identifier: int) -> None:
@@ -161,7 +161,9 @@
     def expire(self, now: float) -> list[int]:
         """End the leases that have run out, and return them."""
         ended = [
-            lease.identifier for lease in self.leases.values() if lease.expires <= now
+            lease.identifier
+            for lease in self.leases.values()
+            if lease.expires_at <= now
         ]
         for identifier in ended:
             self.revoke(identifier)
@@ -171,7 +173,7 @@
         for kind, key, argument, lease in operations:
             if not key:
                 raise StoreError(3, "etcdserver: key is not provided")
-            if kind == "put" and len(argument) > MAXIMUM_VALUE_BYTES:
+            if kind == "put" and len(argument) > MAX_VALUE_BYTES:
                 raise StoreError(3, "etcdserver: request is too large")
             if kind == "put" and lease and lease not in self.leases:
                 raise StoreError(5, "etcdserver: requested lease not found")
--- a/standins/keyvalue_virtual.py
+++ b/standins/keyvalue_virtual.py
@@ -60,14 +60,14 @@
         # Calls go on in the service after the client has given up on them.
         self.tasks: set[asyncio.Task] = set()
 
-    async def call(self, path: str, body: bytes, within: float) -> bytes:
+    async def call(self, path: str, body: bytes, timeout_seconds: float) -> bytes:
         """Return the body of an answer."""
         request = msgspec.json.decode(body)
         answer = self.service.answer(KINDS[path], request, self.client_name)
         task = asyncio.create_task(answer)
         self.tasks.add(task)
         task.add_done_callback(self._ended)
-        done, _ = await asyncio.wait({task}, timeout=within)
+        done, _ = await asyncio.wait({task}, timeout=timeout_seconds)
         if not done:
             raise CallFailedError(f"{path}: no answer in time", True, True)
         try:
@@ -79,7 +79,7 @@
             raise CallFailedError(f"{path}: connection closed", True) from error
 
     async def stream(
-        self, path: str, body: bytes, within: float
+        self, path: str, body: bytes, timeout_seconds: float
     ) -> collections.abc.AsyncGenerator[bytes, None]:
         """Yield the messages of a watch."""
         try:
