--- a/features/steps/dispatch_evacuation_steps.py
+++ b/features/steps/dispatch_evacuation_steps.py
@@ -49,7 +49,7 @@
 
 @when("entries {first:w} and {second:w} can't reach the store")
 def step_without_store(context, first, second):
-    context.fleet.without_store = {first, second}
+    context.fleet.cut_from_store = {first, second}
 
 
 @when("the links from {entry:w} to the other entries are cut")
--- a/features/steps/dispatch_lines_steps.py
+++ b/features/steps/dispatch_lines_steps.py
@@ -46,7 +46,7 @@
             self.day.play(DAY_SECONDS)
         fleet = self.day.fleet
         for name in fleet.entry_names:
-            fleet.feed(name, ConfigurationRead(Queues(2, fleet.queues, 1 << 20)))
+            fleet.deliver(name, ConfigurationRead(Queues(2, fleet.queues, 1 << 20)))
         self.said = [
             (name, effect.sentence, effect.fields) for _, name, effect in fleet.lines
         ]
--- a/features/steps/dispatch_membership_steps.py
+++ b/features/steps/dispatch_membership_steps.py
@@ -26,7 +26,9 @@
 
 @given("no entry asks others for room")
 def step_no_search(context):
-    patch = mock.patch.object(entryoverflow, "whom_to_ask", lambda *arguments: [])
+    patch = mock.patch.object(
+        entryoverflow, "choose_entries_to_ask", lambda *arguments: []
+    )
     patch.start()
     context.clean_ups = [patch.stop]
 
@@ -115,9 +117,9 @@
     told = fleet.states[agent].entries[entry].members
     for _ in range(100):
         report = msgspec.structs.replace(
-            view.report, data_centre=centre, members_seen=0
+            view.report, data_centre=centre, acknowledged_members=0
         )
-        fleet.feed(entry, Received(agent, report))
+        fleet.deliver(entry, Received(agent, report))
         fleet.run(0.01)
         if fleet.states[agent].entries[entry].members != told:
             return
@@ -209,7 +211,7 @@
 
 
 def on_time(context):
-    return sum(map(context.fleet.in_aim, context.jobs)) / len(context.jobs)
+    return sum(map(context.fleet.is_on_time, context.jobs)) / len(context.jobs)
 
 
 @then("workers of other data centres have run some of it")
--- a/features/steps/dispatch_mutants_steps.py
+++ b/features/steps/dispatch_mutants_steps.py
@@ -88,7 +88,7 @@
     fleet.run(2.0)
     fleet.submit("e0", JOB, 20, seconds=1.0)
     fleet.run(0.3)
-    fleet.feed("e0", Received("a0", report))
+    fleet.deliver("e0", Received("a0", report))
     fleet.run(4.0)
     assert len(fleet.starts) > 20, "each task was started once"
 
@@ -110,6 +110,6 @@
     for seed in range(MOST_SEEDS):
         day = RandomDay(seed)
         day.play(DAY_SECONDS)
-        if day.fleet.overlaps or day.untrue or day.unanswered:
+        if day.fleet.overlaps or day.false_refusals or day.unanswered:
             return
     raise AssertionError(f"{MOST_SEEDS} days passed without it")
--- a/features/steps/dispatch_once_steps.py
+++ b/features/steps/dispatch_once_steps.py
@@ -84,7 +84,7 @@
 )
 def step_late(context, agent, part, late):
     worker = context.fleet.workers[agent]
-    worker.deaf, worker.late = part / 100, late
+    worker.unanswered_share, worker.late = part / 100, late
 
 
 @when("{agent:w}'s worker is cut off after {after:g} seconds")
@@ -104,7 +104,7 @@
 @when("a heartbeat of the earlier life arrives after {after:g} seconds")
 def step_old_heartbeat(context, after):
     context.fleet.run(after)
-    context.fleet.feed("a0", Announced(context.old_heartbeat))
+    context.fleet.deliver("a0", Announced(context.old_heartbeat))
 
 
 @when("the fleet runs on for {seconds:g} seconds")
--- a/features/steps/dispatch_recovery_steps.py
+++ b/features/steps/dispatch_recovery_steps.py
@@ -29,8 +29,8 @@
     context.fleet.run(after)
     state = context.fleet.states["e0"]
     report = msgspec.structs.replace(context.earlier_report, open=True)
-    assert report.life != state.views[agent].report.life
-    context.fleet.feed("e0", Received(agent, report))
+    assert report.incarnation != state.views[agent].report.incarnation
+    context.fleet.deliver("e0", Received(agent, report))
 
 
 @when("{agent:w}'s worker has been seen to drag, ten times slower")
@@ -49,13 +49,13 @@
 )
 def step_declined(context, tasks, seconds, times, entry):
     fleet = context.fleet
-    started = entryplacing._start
+    started = entryplacing._start_task
 
     def start_later(state, task, view, now):
         task.runs = max(task.runs, times)
         started(state, task, view, now)
 
-    with mock.patch.object(entryplacing, "_start", start_later):
+    with mock.patch.object(entryplacing, "_start_task", start_later):
         context.waiters[entry] = fleet.submit(
             entry, JOB, tasks, seconds=seconds, wait=10.0
         )
@@ -82,7 +82,7 @@
     worker = fleet.workers[agent]
     worker.pace = factor
     for run in worker.runs.values():
-        run.turn_slow(fleet.now, factor)
+        run.slow_down(fleet.now, factor)
 
 
 @then("{agent:w} has noticed that its worker drags")
--- a/features/steps/dispatch_trial_steps.py
+++ b/features/steps/dispatch_trial_steps.py
@@ -36,7 +36,7 @@
 def drain(fleet, name, draining):
     worker = fleet.workers[name]
     worker.draining = draining
-    fleet.feed(name, Announced(worker.announcement()))
+    fleet.deliver(name, Announced(worker.announcement()))
     fleet.run(0.05)
 
 
--- a/features/steps/dispatch_unanswered_steps.py
+++ b/features/steps/dispatch_unanswered_steps.py
@@ -12,7 +12,7 @@
     " {seconds:g} seconds comes"
 )
 def step_answers_lost(context, lost, tasks, seconds):
-    hand_in_while(context, lost, tasks, seconds, mute=1.0)
+    hand_in_while(context, lost, tasks, seconds, unconfirmed_share=1.0)
 
 
 @when(
@@ -20,7 +20,7 @@
     " {tasks:d} tasks of {seconds:g} seconds comes"
 )
 def step_starts_late(context, late, lost, tasks, seconds):
-    hand_in_while(context, lost, tasks, seconds, deaf=1.0, late=late)
+    hand_in_while(context, lost, tasks, seconds, unanswered_share=1.0, late=late)
 
 
 def hand_in_while(context, lost, tasks, seconds, **faults):
@@ -52,7 +52,7 @@
 )
 def step_some_mute(context, count, part, seconds):
     for worker in list(context.fleet.workers.values())[:count]:
-        worker.mute = part / 100
+        worker.unconfirmed_share = part / 100
     step_usual(context, seconds)
 
 
@@ -73,7 +73,7 @@
 def step_starts_and_stops_late(context, tasks, seconds, late):
     fleet = context.fleet
     for name, worker in fleet.workers.items():
-        worker.loses, worker.late = (StartTask, StopTask), late
+        worker.dropped_calls, worker.late = (StartTask, StopTask), late
         # A look was lost a moment ago as well, so that many short ones follow.
         fleet.states[name].unanswered_poll_at = fleet.now
     step_job(context, tasks, seconds, "e0")
@@ -86,7 +86,7 @@
 def step_job_later(context, after, entry, tasks, seconds):
     context.fleet.run(after)
     for worker in context.fleet.workers.values():
-        worker.loses = ()
+        worker.dropped_calls = ()
     context.fleet.submit(entry, f"{1:016x}", tasks, seconds=seconds, wait=10.0)
     context.fleet.run(3.0)
 
--- a/features/support/evacuationday.py
+++ b/features/support/evacuationday.py
@@ -38,7 +38,7 @@
         if free:
             self.evacuate(self.operator.choice(sorted(free)))
         away = self.operator.randint(0, len(fleet.entry_names) - 1)
-        fleet.without_store = set(self.operator.sample(fleet.entry_names, away))
+        fleet.cut_from_store = set(self.operator.sample(fleet.entry_names, away))
         for name in fleet.living():
             fleet.read_store(name)
         gap = self.operator.expovariate(1 / GAP_SECONDS)
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -86,7 +86,7 @@
         self.slow_at = None
         self.slow_factor = 1.0
 
-    def turn_slow(self, now, factor):
+    def slow_down(self, now, factor):
         """Do the rest so many times slower."""
         self.slow_at, self.slow_factor = now, factor
         self.ends_at = now + (self.ends_at - now) * factor
@@ -117,16 +117,16 @@
         self.cpu = cpu
         self.data_centre = data_centre
         self.generator = generator
-        self.life = 1
+        self.incarnation = 1
         self.up = True
         self.cut = False
         self.pace = 1.0
         self.fails = False
         self.stalls = False
-        self.deaf = 0.0
+        self.unanswered_share = 0.0
         self.late = 0.0
-        self.mute = 0.0
-        self.loses = ()
+        self.unconfirmed_share = 0.0
+        self.dropped_calls = ()
         self.draining = False
         self.leaves_in_ms = 0
         self.sequence = 0
@@ -142,7 +142,7 @@
 
     @property
     def identifier(self):
-        return f"{self.name}-{self.life}"
+        return f"{self.name}-{self.incarnation}"
 
     def announcement(self):
         self.sequence += 1
@@ -161,8 +161,8 @@
 
     def crash(self):
         for run in self.runs.values():
-            self.fleet.run_over(run)
-        self.life += 1
+            self.fleet.record_run_end(run)
+        self.incarnation += 1
         self.reset()
 
     def advance(self, now):
@@ -180,7 +180,7 @@
         self.number += 1
         self.ended.append(EndedRow(self.number, run.key, run.run, how))
         self.highest[run.key] = max(run.run, self.highest.get(run.key, 0))
-        self.fleet.run_over(run, at)
+        self.fleet.record_run_end(run, at)
 
     def start(self, effect, sent_at, now):
         self.advance(now)
@@ -207,7 +207,7 @@
             took = 1e9
         run = Run(key, effect.run, now, took, self.fails)
         self.runs[key] = run
-        self.fleet.run_began(run, self)
+        self.fleet.record_run_start(run, self)
         return StartVerdict.STARTED
 
     def stop(self, effect, now):
@@ -284,7 +284,7 @@
         # What the store holds of evacuations, and the entries that can't reach it.
         self.evacuated = set()
         self.store_revision = 1
-        self.without_store = set()
+        self.cut_from_store = set()
         # Messages by sender and type.
         self.sent = collections.Counter()
         self.workers = {}
@@ -307,7 +307,7 @@
             GRACE_SECONDS,
         )
         self.states[name] = state
-        self.feed(name, ConfigurationRead(Queues(1, self.queues, 1 << 20)))
+        self.deliver(name, ConfigurationRead(Queues(1, self.queues, 1 << 20)))
         self.at(0.0, lambda: self.tick(name, state))
         if self.store_revision > 1:
             self.read_store(name)
@@ -328,12 +328,13 @@
 
     def read_store(self, name):
         """Have an entry read the store, if it can, as it is now."""
-        if name in self.without_store:
+        if name in self.cut_from_store:
             return
         known = Evacuations(self.store_revision, tuple(sorted(self.evacuated)))
         state = self.states[name]
         self.at(
-            STORE_SECONDS, lambda: self.feed_same(name, state, EvacuationsRead(known))
+            STORE_SECONDS,
+            lambda: self.deliver_if_same(name, state, EvacuationsRead(known)),
         )
 
     def add_worker(self, name, cpu, data_centre):
@@ -374,7 +375,7 @@
     def tick(self, name, state):
         if self.states.get(name) is not state or name in self.dead:
             return
-        self.feed(name, AgentTick() if name in self.workers else Tick())
+        self.deliver(name, AgentTick() if name in self.workers else Tick())
         self.at(TICK, lambda: self.tick(name, state))
 
     def heartbeat(self, name):
@@ -387,7 +388,7 @@
 
     def announce(self, name):
         """Have a worker send a heartbeat at once."""
-        self.feed(name, Announced(self.workers[name].announcement()))
+        self.deliver(name, Announced(self.workers[name].announcement()))
 
     # Time.
 
@@ -401,21 +402,21 @@
             action()
         self.now = until
 
-    def feed(self, name, event):
+    def deliver(self, name, event):
         state = self.states[name]
         if name in self.dead:
             return
         wakes = self.frozen.get(name, 0.0)
         if self.now < wakes:
-            self.at(wakes - self.now, lambda: self.feed_same(name, state, event))
+            self.at(wakes - self.now, lambda: self.deliver_if_same(name, state, event))
             return
         role = agent if name in self.workers else entry
         for effect in role.reduce(state, event, self.now):
             self.perform(name, state, effect)
 
-    def feed_same(self, name, state, event):
+    def deliver_if_same(self, name, state, event):
         if self.states.get(name) is state:
-            self.feed(name, event)
+            self.deliver(name, event)
 
     # Effects.
 
@@ -429,7 +430,7 @@
         elif isinstance(effect, ReadEntries):
             self.at(
                 0.005,
-                lambda: self.feed_same(
+                lambda: self.deliver_if_same(
                     name,
                     state,
                     EntriesRead(
@@ -455,14 +456,15 @@
             delay = max(delay, self.last_arrival.get(link, 0.0) - self.now)
             self.last_arrival[link] = self.now + delay
         self.at(
-            delay, lambda: self.feed_same(address, state, received(sender, message))
+            delay,
+            lambda: self.deliver_if_same(address, state, received(sender, message)),
         )
 
     def call(self, name, state, effect):
         worker = self.workers[name]
         sent_at = self.now
-        lost = worker.generator.random() < worker.deaf or isinstance(
-            effect, worker.loses
+        lost = worker.generator.random() < worker.unanswered_share or isinstance(
+            effect, worker.dropped_calls
         )
         if not worker.up or worker.cut or lost:
             if worker.up and lost and worker.late:
@@ -470,7 +472,7 @@
             wait = getattr(effect, "wait_ms", 0) / 1000
             self.at(
                 CALL_TIMEOUT_SECONDS + wait,
-                lambda: self.feed_same(name, state, no_answer(effect)),
+                lambda: self.deliver_if_same(name, state, make_unanswered(effect)),
             )
             return
         self.at(
@@ -480,11 +482,11 @@
     def arrive(self, name, state, worker, effect, sent_at):
         event = self.carry_out(worker, effect, sent_at)
         if event is not None:
-            if worker.generator.random() < worker.mute:
-                event, after = no_answer(effect), CALL_TIMEOUT_SECONDS
-                self.at(after, lambda: self.feed_same(name, state, event))
+            if worker.generator.random() < worker.unconfirmed_share:
+                event, after = make_unanswered(effect), CALL_TIMEOUT_SECONDS
+                self.at(after, lambda: self.deliver_if_same(name, state, event))
                 return
-            self.at(CALL_SECONDS / 2, lambda: self.feed_same(name, state, event))
+            self.at(CALL_SECONDS / 2, lambda: self.deliver_if_same(name, state, event))
             return
         deadline = self.now + effect.wait_ms / 1000
         self.wait_for_end(name, state, worker, effect, sent_at, deadline)
@@ -504,7 +506,7 @@
         worker.renew(effect, sent_at, now)
         if effect.wait_ms and not worker.ended:
             return None
-        return looked(effect, sent_at, *worker.rows(now))
+        return make_poll_answered(effect, sent_at, *worker.rows(now))
 
     def wait_for_end(self, name, state, worker, effect, sent_at, deadline):
         worker.advance(self.now)
@@ -512,8 +514,8 @@
         if gone or worker.ended or self.now >= deadline or worker.cut:
             event = PollFailed(effect.worker, False, gone, effect.is_check)
             if not gone and not worker.cut:
-                event = looked(effect, sent_at, *worker.rows(self.now))
-            self.at(CALL_SECONDS / 2, lambda: self.feed_same(name, state, event))
+                event = make_poll_answered(effect, sent_at, *worker.rows(self.now))
+            self.at(CALL_SECONDS / 2, lambda: self.deliver_if_same(name, state, event))
             return
         ends = [run.ends_at for run in worker.runs.values()]
         step = min([0.01, deadline - self.now, *(end - self.now for end in ends)])
@@ -527,7 +529,7 @@
     def size_of(self, key):
         return self.sizes[key.job]
 
-    def run_began(self, run, worker):
+    def record_run_start(self, run, worker):
         self.starts.append((self.now, run.key, run.run, worker.name))
         other = self.live_runs.get(run.key)
         if other is not None:
@@ -536,7 +538,7 @@
             self.overlaps.append((self.now, run.key))
         self.live_runs[run.key] = (run, worker)
 
-    def run_over(self, run, at=None):
+    def record_run_end(self, run, at=None):
         live = self.live_runs.get(run.key)
         if live is not None and live[0] is run:
             del self.live_runs[run.key]
@@ -565,15 +567,15 @@
             (item for item in self.queues if item.name == queue_name), self.queues[0]
         )
         self.arrivals[waiter] = (self.now, chosen, seconds, identifier)
-        self.feed(entry, JobArrived(waiter, chosen, request, wait))
+        self.deliver(entry, JobArrived(waiter, chosen, request, wait))
         return waiter
 
     def leave(self, entry, waiter):
-        self.feed(entry, WaiterLeft(waiter, self.arrivals[waiter][3]))
+        self.deliver(entry, WaiterLeft(waiter, self.arrivals[waiter][3]))
 
     def terminate(self, name):
         event = AgentStopRequested() if name in self.workers else StopRequested()
-        self.feed(name, event)
+        self.deliver(name, event)
 
     def verdict(self, waiter):
         return self.answers[waiter][1].verdict.value
@@ -581,7 +583,7 @@
     def took(self, waiter):
         return self.answers[waiter][0] - self.arrivals[waiter][0]
 
-    def in_aim(self, waiter):
+    def is_on_time(self, waiter):
         """Return whether a job was done within its aim, by its true run time."""
         if waiter not in self.answers or self.verdict(waiter) != "completed":
             return False
@@ -591,7 +593,7 @@
         )
 
 
-def no_answer(effect):
+def make_unanswered(effect):
     if isinstance(effect, StartTask):
         return StartAnswered(effect.worker, effect.handle, StartVerdict.UNKNOWN)
     if isinstance(effect, StopTask):
@@ -599,7 +601,7 @@
     return PollFailed(effect.worker, False, False, effect.is_check)
 
 
-def looked(effect, sent_at, running, ended):
+def make_poll_answered(effect, sent_at, running, ended):
     return PollAnswered(
         effect.worker, sent_at, running, ended, effect.noted, effect.is_check
     )
--- a/features/support/fleetload.py
+++ b/features/support/fleetload.py
@@ -50,7 +50,7 @@
     def counts(self):
         """Return, by kind, how many jobs were done within their aim, of how many."""
         return {
-            name: (sum(map(self.fleet.in_aim, waiters)), len(waiters))
+            name: (sum(map(self.fleet.is_on_time, waiters)), len(waiters))
             for name, waiters in self.by_kind.items()
         }
 
--- a/features/support/fleetscript.py
+++ b/features/support/fleetscript.py
@@ -16,7 +16,7 @@
     """Plays one seed.
 
     :ivar unanswered: jobs whose caller was connected all the time and got nothing.
-    :ivar untrue: refusals that said "not run" of jobs that had run by then.
+    :ivar false_refusals: jobs that were refused as not run although a task had run.
     """
 
     def __init__(self, seed, entries=3, workers=5, centres=None):
@@ -28,7 +28,7 @@
         self.faults = []
         self.ends_at = 0.0
         self.unanswered = []
-        self.untrue = []
+        self.false_refusals = []
 
     def play(self, seconds):
         fleet = self.fleet
@@ -164,8 +164,11 @@
 
     def lose_calls(self):
         worker = self.fleet.workers[self.any_agent()]
-        worker.deaf, worker.late = 0.4, self.generator.choice((0.0, 0.3, 2.0))
-        self.fleet.at(self.span(), lambda: setattr(worker, "deaf", 0.0))
+        worker.unanswered_share, worker.late = (
+            0.4,
+            self.generator.choice((0.0, 0.3, 2.0)),
+        )
+        self.fleet.at(self.span(), lambda: setattr(worker, "unanswered_share", 0.0))
 
     def slow_worker(self):
         worker = self.fleet.workers[self.any_agent()]
@@ -187,7 +190,7 @@
         fleet.cuts.clear()
         for worker in fleet.workers.values():
             worker.cut = worker.fails = worker.draining = False
-            worker.deaf, worker.pace = 0.0, 1.0
+            worker.unanswered_share, worker.pace = 0.0, 1.0
 
     # Verdict.
 
@@ -211,12 +214,14 @@
                 at for at, effect in answers if effect.verdict.value == "not_run"
             ]
             if len(refused) == tries[identifier] and identifier in first_start:
-                self.untrue.append(identifier)
+                self.false_refusals.append(identifier)
 
     def is_broken(self):
         """Return whether the day has broken a promise."""
         fleet = self.fleet
-        return bool(fleet.overlaps or fleet.overloads or self.unanswered or self.untrue)
+        return bool(
+            fleet.overlaps or fleet.overloads or self.unanswered or self.false_refusals
+        )
 
     def summary(self):
         fleet = self.fleet
@@ -224,7 +229,8 @@
             f"jobs {self.jobs}, answers {len(fleet.answers)}, "
             f"starts {len(fleet.starts)}, overlaps {fleet.overlaps[:3]}, "
             f"overloads {fleet.overloads}, "
-            f"unanswered {self.unanswered[:3]}, untrue {self.untrue[:3]}, "
+            f"unanswered {self.unanswered[:3]}, "
+            f"false refusals {self.false_refusals[:3]}, "
             f"faults {self.faults}"
         )
 
--- a/src/cactuswalk/dispatch/agententries.py
+++ b/src/cactuswalk/dispatch/agententries.py
@@ -8,7 +8,7 @@
 from cactuswalk.dispatch.bounds import ENTRY_LEASE_SECONDS
 from cactuswalk.dispatch.effects import SendMessage
 from cactuswalk.dispatch.leaving import can_finish_in_time
-from cactuswalk.dispatch.messages import Ended, Pulse, Start, Stop, TaskEnd
+from cactuswalk.dispatch.messages import Keepalive, Start, StartEnded, Stop, TaskEnd
 
 __all__ = [
     "expire_entries",
@@ -24,7 +24,7 @@
 def handle_message(state: AgentState, event: Received, now: float) -> None:
     """Handle a message from an entry."""
     message = event.message
-    if isinstance(message, Pulse):
+    if isinstance(message, Keepalive):
         _handle_pulse(state, event.sender, message, now)
     elif isinstance(message, Start):
         _handle_start(state, event.sender, message, now)
@@ -32,15 +32,15 @@
         _handle_stop(state, event.sender, message, now)
 
 
-def _handle_pulse(state: AgentState, sender: str, pulse: Pulse, now: float) -> None:
-    peer = _refresh_peer(state, sender, pulse.life, now)
+def _handle_pulse(state: AgentState, sender: str, pulse: Keepalive, now: float) -> None:
+    peer = _refresh_peer(state, sender, pulse.incarnation, now)
     if peer is None:
         return
-    if pulse.agent_life == state.incarnation:
+    if pulse.agent_incarnation == state.incarnation:
         peer.echoed_stamp = max(peer.echoed_stamp, pulse.stamp)
     state.apply_evacuations(pulse.evacuations, sender)
     peer.data_centre = pulse.data_centre
-    for sequence in pulse.noted:
+    for sequence in pulse.acknowledged:
         peer.pending_ends.pop(sequence, None)
         peer.end_sent_at.pop(sequence, None)
     update_members(state, peer, pulse)
@@ -80,7 +80,7 @@
 
 
 def _handle_start(state: AgentState, sender: str, start: Start, now: float) -> None:
-    peer = _refresh_peer(state, sender, start.life, now)
+    peer = _refresh_peer(state, sender, start.incarnation, now)
     if peer is None or start.sequence <= peer.last_sequence:
         return
     peer.last_sequence = start.sequence
@@ -97,13 +97,13 @@
     state.held[held.handle] = held
     if state.health.is_slow:
         state.health.last_trial_at = now
-    state.by_sequence[(start.life, start.sequence)] = held.handle
+    state.by_sequence[(start.incarnation, start.sequence)] = held.handle
     request_start(state, held, now)
 
 
 def _decline_reason(state: AgentState, start: Start, now: float) -> str:
     """Return why a start is declined, or an empty string if it is accepted."""
-    if start.agent_life != state.incarnation:
+    if start.agent_incarnation != state.incarnation:
         return "meant for an earlier life of this agent"
     if _milliseconds(now) - start.stamp > ENTRY_LEASE_SECONDS * 1000:
         return "too long on its way"
@@ -131,15 +131,15 @@
     state: AgentState, peer: EntryPeer, start: Start, reason: str, now: float
 ) -> None:
     state.observe("declined", reason)
-    ended = Ended(peer.incarnation, start.sequence, TaskEnd.DECLINED, 0, 0, reason)
+    ended = StartEnded(peer.incarnation, start.sequence, TaskEnd.DECLINED, 0, 0, reason)
     state.send_end(peer, ended, now)
 
 
 def _handle_stop(state: AgentState, sender: str, request: Stop, now: float) -> None:
-    peer = _refresh_peer(state, sender, request.life, now)
+    peer = _refresh_peer(state, sender, request.incarnation, now)
     if peer is None:
         return
-    handle = state.by_sequence.get((request.life, request.sequence))
+    handle = state.by_sequence.get((request.incarnation, request.sequence))
     if handle is not None:
         stop_run(state, state.held[handle], "its entry asked", now)
         return
@@ -147,7 +147,9 @@
         return
     # The start has not arrived. Raising the sequence has it ignored if it comes later.
     peer.last_sequence = max(peer.last_sequence, request.sequence)
-    ended = Ended(peer.incarnation, request.sequence, TaskEnd.DECLINED, 0, 0, "stopped")
+    ended = StartEnded(
+        peer.incarnation, request.sequence, TaskEnd.DECLINED, 0, 0, "stopped"
+    )
     state.send_end(peer, ended, now)
 
 
@@ -157,7 +159,7 @@
     for held in list(state.held.values()):
         peer = state.entries.get(held.entry)
         echoed_stamp = held.start.stamp
-        if peer is not None and peer.incarnation == held.start.life:
+        if peer is not None and peer.incarnation == held.start.incarnation:
             echoed_stamp = max(echoed_stamp, peer.echoed_stamp)
         if echoed_stamp < silent:
             stop_run(state, held, "its entry is not heard", now)
--- a/src/cactuswalk/dispatch/agentheld.py
+++ b/src/cactuswalk/dispatch/agentheld.py
@@ -6,7 +6,7 @@
 
 from cactuswalk.dispatch.bounds import UNHEARD_SECONDS
 from cactuswalk.dispatch.membership import Member
-from cactuswalk.dispatch.messages import Ended, Start
+from cactuswalk.dispatch.messages import Start, StartEnded
 
 __all__ = ["EntryPeer", "HeldState", "HeldTask"]
 
@@ -87,7 +87,7 @@
     echoed_stamp: int = -1
     heard_at: float = 0.0
     last_sequence: int = 0
-    pending_ends: dict[int, Ended] = msgspec.field(default_factory=dict)
+    pending_ends: dict[int, StartEnded] = msgspec.field(default_factory=dict)
     end_sent_at: dict[int, float] = msgspec.field(default_factory=dict)
     data_centre: str = ""
     reported_at: float = 0.0
--- a/src/cactuswalk/dispatch/agentmembers.py
+++ b/src/cactuswalk/dispatch/agentmembers.py
@@ -4,8 +4,8 @@
 from cactuswalk.dispatch.agentheld import EntryPeer
 from cactuswalk.dispatch.agentstate import AgentState
 from cactuswalk.dispatch.effects import ReadEntries
-from cactuswalk.dispatch.membership import FORGET_ENTRY_SECONDS, home_entries
-from cactuswalk.dispatch.messages import Pulse
+from cactuswalk.dispatch.membership import FORGET_ENTRY_SECONDS, choose_home_entries
+from cactuswalk.dispatch.messages import Keepalive
 
 __all__ = ["handle_entries", "refresh_peers", "request_entries", "update_members"]
 
@@ -25,7 +25,7 @@
 ENTRIES_READ_INTERVAL_SECONDS = 3.0
 
 
-def update_members(state: AgentState, peer: EntryPeer, pulse: Pulse) -> None:
+def update_members(state: AgentState, peer: EntryPeer, pulse: Keepalive) -> None:
     """Store the list of entries in a pulse, unless a newer one is known."""
     if pulse.members is None or pulse.members_version < peer.members_version:
         return
@@ -44,7 +44,9 @@
         for address, peer in state.entries.items()
         if now - peer.heard_at > SILENT_SECONDS
     }
-    home = home_entries(_directory(state, now), state.data_centre, state.name, silent)
+    home = choose_home_entries(
+        _directory(state, now), state.data_centre, state.name, silent
+    )
     if set(home) != {peer.address for peer in state.entries.values() if peer.home}:
         state.say("the home entries have changed", entries=home, silent=len(silent))
     for address in home:
--- a/src/cactuswalk/dispatch/agentprogress.py
+++ b/src/cactuswalk/dispatch/agentprogress.py
@@ -75,7 +75,7 @@
     if not state.health.is_slow:
         return
     for held, task in zip(running, tasks, strict=True):
-        if held.start.may_move and should_move(task):
+        if held.start.is_returnable and should_move(task):
             stop_run(state, held, "its worker drags", now)
 
 
--- a/src/cactuswalk/dispatch/agentreports.py
+++ b/src/cactuswalk/dispatch/agentreports.py
@@ -58,11 +58,11 @@
 def _address(general: Report, peer: EntryPeer, held: list[int], now: float) -> Report:
     """Return a copy of the general report with the fields for one entry filled in."""
     report = copy.copy(general)
-    report.entry_life = peer.incarnation
-    report.seen = peer.last_sequence
+    report.entry_incarnation = peer.incarnation
+    report.last_sequence = peer.last_sequence
     report.held = held + list(peer.pending_ends)
-    report.hears = bool(peer.incarnation) and peer.is_heard(now)
-    report.members_seen = peer.members_version
+    report.hears_entry = bool(peer.incarnation) and peer.is_heard(now)
+    report.acknowledged_members = peer.members_version
     report.home = peer.home
     return report
 
@@ -75,12 +75,12 @@
     can_try = not trial or state.can_try(now)
     left = state.seconds_left(now)
     return Report(
-        life=state.incarnation,
-        entry_life="",
+        incarnation=state.incarnation,
+        entry_incarnation="",
         stamp=int(now * 1000),
-        seen=0,
+        last_sequence=0,
         held=[],
-        hears=False,
+        hears_entry=False,
         worker=worker.identifier if worker else "",
         service=worker.service if worker else "",
         data_centre=worker.data_centre if worker else state.data_centre,
@@ -92,7 +92,7 @@
         free_memory_mb=memory_mb,
         free_gpu=gpu,
         pace=round(state.health.pace, 3),
-        members_seen=0,
+        acknowledged_members=0,
         home=False,
         leaves_in_ms=0 if left == math.inf else max(1, int(left * 1000)),
     )
--- a/src/cactuswalk/dispatch/agentstate.py
+++ b/src/cactuswalk/dispatch/agentstate.py
@@ -11,7 +11,7 @@
 )
 from cactuswalk.dispatch.evacuation import NOTHING_EVACUATED, Evacuations
 from cactuswalk.dispatch.job import Worker
-from cactuswalk.dispatch.messages import Ended, TaskEnd
+from cactuswalk.dispatch.messages import StartEnded, TaskEnd
 from cactuswalk.dispatch.soundness import (
     WorkerHealth,
 )
@@ -207,7 +207,7 @@
             if peer.incarnation:
                 peer.dirty = True
 
-    def send_end(self, peer: EntryPeer, ended: Ended, now: float) -> None:
+    def send_end(self, peer: EntryPeer, ended: StartEnded, now: float) -> None:
         """Send an end to an entry, and keep it until it is acknowledged."""
         peer.pending_ends[ended.sequence] = ended
         peer.end_sent_at[ended.sequence] = now
@@ -219,7 +219,7 @@
     ) -> None:
         """Remove a start that has ended, and send the end to its entry."""
         del self.held[held.handle]
-        del self.by_sequence[(held.start.life, held.start.sequence)]
+        del self.by_sequence[(held.start.incarnation, held.start.sequence)]
         self.mark_entries_dirty()
         self.observe("ended", end.name.lower())
         if end not in (TaskEnd.DONE, TaskEnd.DECLINED):
@@ -231,9 +231,9 @@
                 ran_ms=ran_ms,
             )
         peer = self.entries.get(held.entry)
-        if peer is None or peer.incarnation != held.start.life:
+        if peer is None or peer.incarnation != held.start.incarnation:
             return
-        ended = Ended(
+        ended = StartEnded(
             peer.incarnation, held.start.sequence, end, held.run, ran_ms, reason
         )
         self.send_end(peer, ended, now)
--- a/src/cactuswalk/dispatch/agentview.py
+++ b/src/cactuswalk/dispatch/agentview.py
@@ -14,14 +14,14 @@
 from cactuswalk.dispatch.jobstate import TaskState
 from cactuswalk.dispatch.messages import Report, Start
 
-__all__ = ["AgentView", "Placed"]
+__all__ = ["AgentView", "PlacedTask"]
 
 # A worker that declined for want of room is passed over until its next report, or
 # this long if that is lost.
 DECLINED_PAUSE_SECONDS = 0.03
 
 
-class Placed(msgspec.Struct):
+class PlacedTask(msgspec.Struct):
     """A start that has been sent, and whose end isn't known.
 
     :param task: None once its job has ended; the start is then being stopped.
@@ -31,7 +31,7 @@
     start: Start
     task: TaskState | None
     sent_at: float
-    gone_at: float = 0.0
+    expires_at: float = 0.0
     stop_sent_at: float = 0.0
 
 
@@ -51,34 +51,34 @@
     address: str
     report: Report
     heard_at: float
-    placed: dict[int, Placed] = msgspec.field(default_factory=dict)
-    noted: list[int] = msgspec.field(default_factory=list)
-    passed_over_until: float = 0.0
+    placed: dict[int, PlacedTask] = msgspec.field(default_factory=dict)
+    acknowledged: list[int] = msgspec.field(default_factory=list)
+    skipped_until: float = 0.0
     free_cpu: int = 0
     free_memory_mb: int = 0
     free_gpu: int = 0
-    unseen: int = 0
-    told_at: float = -math.inf
-    told_for: str = ""
+    unreported_starts: int = 0
+    members_sent_at: float = -math.inf
+    members_data_centre: str = ""
 
     def __post_init__(self) -> None:
-        self._reckon_room()
+        self._recompute_free()
 
-    def room(self) -> tuple[int, int, int]:
+    def free_resources(self) -> tuple[int, int, int]:
         """Return what is free: thousandths of a core, megabytes, accelerators."""
         return self.free_cpu, self.free_memory_mb, self.free_gpu
 
-    def take(self, report: Report, now: float) -> bool:
+    def update_report(self, report: Report, now: float) -> bool:
         """Replace the report by a newer one; return whether more may go there now."""
-        room, was_open = self.room(), self.is_open(now)
+        room, was_open = self.free_resources(), self.is_open(now)
         worker = self.report.worker
         self.report = report
         self.heard_at = now
-        self.passed_over_until = 0.0
-        self._reckon_room()
+        self.skipped_until = 0.0
+        self._recompute_free()
         if not self.is_open(now):
             return False
-        has_more = any(map(operator.gt, self.room(), room))
+        has_more = any(map(operator.gt, self.free_resources(), room))
         return has_more or not was_open or report.worker != worker
 
     def is_out_of_date(self, report: Report, now: float) -> bool:
@@ -91,23 +91,23 @@
         if report.stamp >= self.report.stamp:
             return False
         return (
-            report.life == self.report.life
+            report.incarnation == self.report.incarnation
             or now - self.heard_at < agent_lapse_seconds()
         )
 
-    def add(self, placed: Placed) -> None:
+    def add(self, placed: PlacedTask) -> None:
         """Reckon with a start that the agent has not reported yet."""
         self.placed[placed.start.sequence] = placed
-        self._take_room(placed.start)
+        self._reserve(placed.start)
 
     def is_open(self, now: float) -> bool:
         """Return whether new tasks may be sent there."""
         return (
             self.report.open
-            and self.report.hears
+            and self.report.hears_entry
             and now - self.heard_at <= HEARD_SECONDS
-            and now >= self.passed_over_until
-            and not (self.report.trial and self.unseen)
+            and now >= self.skipped_until
+            and not (self.report.trial and self.unreported_starts)
         )
 
     def fits(self, cpu: int, memory_mb: int, gpu: int) -> bool:
@@ -118,7 +118,7 @@
             and gpu <= self.free_gpu
         )
 
-    def free_part(self) -> float:
+    def free_fraction(self) -> float:
         """Return what is free, as a part of the worker's room."""
         if self.report.cpu <= 0:
             return 0.0
@@ -126,13 +126,13 @@
 
     def is_empty(self) -> bool:
         """Return whether nothing runs there, as far as is known."""
-        return self.report.free_cpu >= self.report.cpu and not self.unseen
+        return self.report.free_cpu >= self.report.cpu and not self.unreported_starts
 
-    def pass_over(self, now: float) -> None:
+    def skip_until_report(self, now: float) -> None:
         """Leave it alone until it has reported again."""
-        self.passed_over_until = now + DECLINED_PAUSE_SECONDS
+        self.skipped_until = now + DECLINED_PAUSE_SECONDS
 
-    def never_arrives(self, placed: Placed) -> bool:
+    def has_start_expired(self, placed: PlacedTask) -> bool:
         """Return whether a start that the agent has not seen is refused by now.
 
         Where the link to the agent is cut and the one back is not, the agent's
@@ -140,26 +140,26 @@
         """
         report = self.report
         age_ms = report.stamp - placed.start.stamp
-        return placed.start.sequence > report.seen and (
+        return placed.start.sequence > report.last_sequence and (
             age_ms > (ENTRY_LEASE_SECONDS + MARGIN_SECONDS) * 1000
         )
 
-    def silent_gone_at(self) -> float:
+    def lapses_at(self) -> float:
         """Return when all that was placed here has ended, if it stays silent."""
         return self.heard_at + agent_lapse_seconds()
 
-    def _reckon_room(self) -> None:
+    def _recompute_free(self) -> None:
         report = self.report
         self.free_cpu = report.free_cpu
         self.free_memory_mb = report.free_memory_mb
         self.free_gpu = report.free_gpu
-        self.unseen = 0
+        self.unreported_starts = 0
         for sequence, placed in self.placed.items():
-            if sequence > report.seen:
-                self._take_room(placed.start)
+            if sequence > report.last_sequence:
+                self._reserve(placed.start)
 
-    def _take_room(self, start: Start) -> None:
-        self.unseen += 1
+    def _reserve(self, start: Start) -> None:
+        self.unreported_starts += 1
         self.free_cpu -= start.cpu
         self.free_memory_mb -= start.memory_mb
         self.free_gpu -= start.gpu
--- a/src/cactuswalk/dispatch/entry.py
+++ b/src/cactuswalk/dispatch/entry.py
@@ -7,7 +7,11 @@
 
 from cactuswalk.dispatch.bounds import STOP_MARGIN_SECONDS
 from cactuswalk.dispatch.effects import Effect
-from cactuswalk.dispatch.entryagents import expire_placed, pulse_agents, received
+from cactuswalk.dispatch.entryagents import (
+    expire_or_resend,
+    handle_message,
+    send_keepalives,
+)
 from cactuswalk.dispatch.entryevents import (
     ConfigurationRead,
     EntriesListed,
@@ -21,33 +25,37 @@
     WaiterLeft,
 )
 from cactuswalk.dispatch.entryjobs import (
-    answer,
-    job_arrived,
-    job_cancelled,
-    waiter_left,
-    why_unservable,
+    answer_job,
+    find_unservable_reason,
+    handle_cancellation,
+    handle_job_arrival,
+    handle_waiter_left,
+)
+from cactuswalk.dispatch.entryoverflow import (
+    release_overflow_agents,
+    request_any_agents,
+    request_capacity,
 )
-from cactuswalk.dispatch.entryoverflow import release_overflow, seek_agents, seek_room
 from cactuswalk.dispatch.entrypeers import (
-    configuration_read,
-    entries_listed,
-    evacuations_read,
-    forget,
-    pulse_next_entries,
+    forget_silent_peers,
+    handle_configuration,
+    handle_entries,
+    handle_evacuations,
+    send_status_by_turns,
 )
-from cactuswalk.dispatch.entryplacing import place
+from cactuswalk.dispatch.entryplacing import place_tasks
 from cactuswalk.dispatch.entrystate import EntryState
 from cactuswalk.dispatch.job import JobVerdict
 from cactuswalk.dispatch.ordering import (
-    Fate,
-    fate,
+    JobAction,
+    choose_action,
 )
 
 __all__ = ["reduce"]
 
 # Entries tell a few others of their configuration this often; who learns of a new
 # version tells all others at once.
-ENTRY_PULSE_SECONDS = 0.3
+ENTRY_STATUS_SECONDS = 0.3
 
 
 def reduce(state: EntryState, event: EntryEvent, now: float) -> list[Effect]:
@@ -56,12 +64,12 @@
     if state.evacuations_changed:
         state.evacuations_changed = False
         _refuse_evacuated(state, now)
-    if state.place_wanted:
-        state.place_wanted = False
-        seek_agents(state, now)
+    if state.placement_needed:
+        state.placement_needed = False
+        request_any_agents(state, now)
         if state.waiting_jobs():
-            place(state, now)
-            seek_room(state, now)
+            place_tasks(state, now)
+            request_capacity(state, now)
     effects, state.effects = state.effects, []
     return effects
 
@@ -73,44 +81,48 @@
 
 
 def _tick(state: EntryState, _: Tick, now: float) -> None:
-    _judge_jobs(state, now)
-    expire_placed(state, now)
-    pulse_agents(state, now)
-    if now - state.entries_pulsed_at >= ENTRY_PULSE_SECONDS:
-        pulse_next_entries(state, now)
-    release_overflow(state, now)
-    forget(state, now)
-    state.place_wanted = True
-
-
-def _judge_jobs(state: EntryState, now: float) -> None:
-    meets_workers = state.meets_workers(now)
+    _close_overdue_jobs(state, now)
+    expire_or_resend(state, now)
+    send_keepalives(state, now)
+    if now - state.status_sent_at >= ENTRY_STATUS_SECONDS:
+        send_status_by_turns(state, now)
+    release_overflow_agents(state, now)
+    forget_silent_peers(state, now)
+    state.placement_needed = True
+
+
+def _close_overdue_jobs(state: EntryState, now: float) -> None:
+    is_discovering_workers = state.is_discovering_workers(now)
     for job in list(state.jobs.values()):
-        verdict = fate(job, now, meets_workers)
+        verdict = choose_action(job, now, is_discovering_workers)
         if state.stop_at and now > state.stop_at - STOP_MARGIN_SECONDS:
-            verdict = Fate.GIVE_UP if job.started else Fate.REFUSE
-        if verdict is Fate.REFUSE:
-            answer(state, job, JobVerdict.NOT_RUN, "no room in time", now)
-        elif verdict is Fate.GIVE_UP:
-            answer(state, job, JobVerdict.UNFINISHED, "out of time", now)
+            verdict = JobAction.GIVE_UP if job.has_started else JobAction.REFUSE
+        if verdict is JobAction.REFUSE:
+            answer_job(state, job, JobVerdict.NOT_RUN, "no room in time", now)
+        elif verdict is JobAction.GIVE_UP:
+            answer_job(state, job, JobVerdict.UNFINISHED, "out of time", now)
 
 
 def _refuse_evacuated(state: EntryState, now: float) -> None:
     """Refuse jobs that wait for workers which are evacuated by now."""
     for job in list(state.jobs.values()):
-        reason = "" if job.started else why_unservable(state, job.request, job.queue)
+        reason = (
+            ""
+            if job.has_started
+            else find_unservable_reason(state, job.request, job.queue)
+        )
         if reason:
-            answer(state, job, JobVerdict.NOT_RUN, reason, now)
+            answer_job(state, job, JobVerdict.NOT_RUN, reason, now)
 
 
 HANDLERS = {
-    JobArrived: job_arrived,
-    WaiterLeft: waiter_left,
-    JobCancelled: job_cancelled,
-    Received: received,
-    ConfigurationRead: configuration_read,
-    EntriesListed: entries_listed,
-    EvacuationsRead: evacuations_read,
+    JobArrived: handle_job_arrival,
+    WaiterLeft: handle_waiter_left,
+    JobCancelled: handle_cancellation,
+    Received: handle_message,
+    ConfigurationRead: handle_configuration,
+    EntriesListed: handle_entries,
+    EvacuationsRead: handle_evacuations,
     StopRequested: _stop_requested,
     Tick: _tick,
 }
--- a/src/cactuswalk/dispatch/entryjobs.py
+++ b/src/cactuswalk/dispatch/entryjobs.py
@@ -12,17 +12,23 @@
 from cactuswalk.dispatch.job import JobRequest, JobVerdict
 from cactuswalk.dispatch.jobstate import JobState, make_tasks
 from cactuswalk.dispatch.ordering import (
-    SPARE_PART,
-    chain_seconds,
-    retry_after,
+    QUEUEING_SLACK_SHARE,
+    critical_path_seconds,
+    retry_after_seconds,
 )
 from cactuswalk.dispatch.placement import any_large_enough, can_ever_run
 from cactuswalk.dispatch.routing import Queue
 
-__all__ = ["answer", "job_arrived", "job_cancelled", "waiter_left", "why_unservable"]
+__all__ = [
+    "answer_job",
+    "handle_job_arrival",
+    "handle_cancellation",
+    "handle_waiter_left",
+    "find_unservable_reason",
+]
 
 
-def job_arrived(state: EntryState, event: JobArrived, now: float) -> None:
+def handle_job_arrival(state: EntryState, event: JobArrived, now: float) -> None:
     """Take a job in, or another caller for one that is under way."""
     known = state.jobs.get(event.request.identifier)
     if known is not None:
@@ -30,10 +36,10 @@
         known.give_up_at = max(known.give_up_at, now + event.wait_seconds)
         return
     job = _make_job(state, event, now)
-    if state.stop_at and job.on_time_by > state.stop_at - STOP_MARGIN_SECONDS:
+    if state.stop_at and job.due_at > state.stop_at - STOP_MARGIN_SECONDS:
         _refuse_waiters(state, job, "this entry is about to stop")
         return
-    reason = why_unservable(state, event.request, event.queue)
+    reason = find_unservable_reason(state, event.request, event.queue)
     if reason:
         _refuse_waiters(state, job, reason)
         return
@@ -41,10 +47,10 @@
     state.arrived_at[event.queue.service, event.queue.priority] = now
     make_tasks(job)
     state.observe("jobs", event.queue.name)
-    state.place_wanted = True
+    state.placement_needed = True
 
 
-def why_unservable(state: EntryState, request: JobRequest, queue: Queue) -> str:
+def find_unservable_reason(state: EntryState, request: JobRequest, queue: Queue) -> str:
     """Return why no known worker can run a job, or an empty text."""
     steps, service = request.steps, queue.service
     known = list(state.views.values())
@@ -69,21 +75,21 @@
         estimate = DurationEstimate.for_uniform_tasks(declared_ms)
         state.estimates[queue.name] = estimate
     seconds = [estimate.predict(step.estimate_ms) for step in event.request.steps]
-    expected = chain_seconds(event.request, seconds)
-    aim = queue.stretch * expected + queue.allowance_ms / 1000
+    expected_seconds = critical_path_seconds(event.request, seconds)
+    aim = queue.stretch * expected_seconds + queue.allowance_ms / 1000
     return JobState(
         event.request,
         queue,
         [event.waiter],
         now,
-        expected,
-        now + (aim - expected) * SPARE_PART,
+        expected_seconds,
+        now + (aim - expected_seconds) * QUEUEING_SLACK_SHARE,
         now + aim,
         now + event.wait_seconds,
     )
 
 
-def waiter_left(state: EntryState, event: WaiterLeft, now: float) -> None:
+def handle_waiter_left(state: EntryState, event: WaiterLeft, now: float) -> None:
     """Give a job up whose last caller has left."""
     job = state.jobs.get(event.job)
     if job is None or event.waiter not in job.waiters:
@@ -91,25 +97,25 @@
     job.waiters.remove(event.waiter)
     if not job.waiters:
         state.say("the caller has left", job=event.job, waited=now - job.arrived_at)
-        _drop(state, job, now)
+        _remove_job(state, job, now)
 
 
-def job_cancelled(state: EntryState, event: JobCancelled, now: float) -> None:
+def handle_cancellation(state: EntryState, event: JobCancelled, now: float) -> None:
     """Give a job up as its caller asked."""
     job = state.jobs.get(event.job)
     if job is None:
         return
-    verdict = JobVerdict.UNFINISHED if job.started else JobVerdict.NOT_RUN
-    answer(state, job, verdict, "cancelled", now)
+    verdict = JobVerdict.UNFINISHED if job.has_started else JobVerdict.NOT_RUN
+    answer_job(state, job, verdict, "cancelled", now)
 
 
-def answer(
+def answer_job(
     state: EntryState, job: JobState, verdict: JobVerdict, reason: str, now: float
 ) -> None:
     """Tell the callers of a job how it ended, and forget it."""
     pause = 0.0
     if verdict is not JobVerdict.COMPLETED:
-        pause = retry_after(state.queued_seconds())
+        pause = retry_after_seconds(state.queued_seconds())
     for waiter in job.waiters:
         state.effects.append(Answer(waiter, verdict, reason, pause))
     state.observe("answers", f"{job.queue.name} {verdict.value}")
@@ -123,8 +129,8 @@
         tasks=len(job.tasks),
         took=round(now - job.arrived_at, 4),
         first_start=round((job.first_start_at or now) - job.arrived_at, 4),
-        expected=round(job.expected, 4),
-        aim=round(job.on_time_by - job.arrived_at, 4),
+        expected=round(job.expected_seconds, 4),
+        aim=round(job.due_at - job.arrived_at, 4),
         wait=round(job.give_up_at - job.arrived_at, 4),
         lost=job.lost_runs,
         declined=job.declined_runs,
@@ -132,7 +138,7 @@
         **_room_seen(state, job, verdict, now),
         version=state.version,
     )
-    _drop(state, job, now)
+    _remove_job(state, job, now)
 
 
 def _refuse_waiters(state: EntryState, job: JobState, reason: str) -> None:
@@ -141,17 +147,17 @@
         state.effects.append(Answer(waiter, JobVerdict.NOT_RUN, reason, 1.0))
 
 
-def _drop(state: EntryState, job: JobState, now: float) -> None:
+def _remove_job(state: EntryState, job: JobState, now: float) -> None:
     """Forget a job, and have stopped what still runs for it."""
     del state.jobs[job.request.identifier]
     job.waiting.clear()
     for task in job.tasks:
-        if task.place:
-            view = state.views[task.place]
+        if task.agent_address:
+            view = state.views[task.agent_address]
             placed = view.placed[task.sequence]
             placed.task = None
             state.send_stop(view, placed, now)
-    state.place_wanted = True
+    state.placement_needed = True
 
 
 def _room_seen(
@@ -184,9 +190,9 @@
     if task is None:
         return {}
     return {
-        "last_agent": task.last_place,
+        "last_agent": task.last_agent_address,
         "last_placed": round(task.placed_at - job.arrived_at, 4),
-        "last_held": round(task.held_seconds, 4),
+        "last_held": round(task.outstanding_seconds, 4),
         "last_ran": task.ran_ms / 1000,
         "last_run": task.runs,
         "last_estimate": task.step.estimate_ms / 1000,
--- a/src/cactuswalk/dispatch/entryknown.py
+++ b/src/cactuswalk/dispatch/entryknown.py
@@ -20,4 +20,4 @@
     heard_at: float
     data_centre: str = ""
     free_cpu: int = 0
-    told_at: float = -math.inf
+    members_sent_at: float = -math.inf
--- a/src/cactuswalk/dispatch/entryoverflow.py
+++ b/src/cactuswalk/dispatch/entryoverflow.py
@@ -1,85 +1,99 @@
 """What an entry does to use the room of agents that are not at home here."""
 
 from cactuswalk.dispatch.entrystate import EntryState
-from cactuswalk.dispatch.messages import Pulse, RoomAsk, RoomOffer
-from cactuswalk.dispatch.ordering import serving_order
-from cactuswalk.dispatch.overflow import agents_to_offer, whom_to_ask
-
-__all__ = ["release_overflow", "room_asked", "room_offered", "seek_agents", "seek_room"]
+from cactuswalk.dispatch.messages import CapacityOffer, CapacityRequest, Keepalive
+from cactuswalk.dispatch.ordering import sort_by_urgency
+from cactuswalk.dispatch.overflow import choose_agents_to_offer, choose_entries_to_ask
+
+__all__ = [
+    "release_overflow_agents",
+    "handle_capacity_request",
+    "handle_capacity_offer",
+    "request_any_agents",
+    "request_capacity",
+]
 
 # A job that has just come is not worth a question: the home agents free room all the
 # time, and an overflow agent costs messages for a second or more.
-SEEK_AFTER_SECONDS = 0.015
+REQUEST_AFTER_SECONDS = 0.015
 
 # Overflow agents are spoken to for so long after the last offer or start.
-OVERFLOW_SECONDS = 1.0
+OVERFLOW_IDLE_SECONDS = 1.0
 
 # Of those, at most so many at a time: each costs as much as one that is at home.
-MOST_OVERFLOW_AGENTS = 10
+MAX_OVERFLOW_AGENTS = 10
 
 
-def seek_room(state: EntryState, now: float) -> None:
+def request_capacity(state: EntryState, now: float) -> None:
     """Ask other entries for agents that have room, if jobs wait for some here."""
-    if not _may_ask(state, now):
+    if not _can_request(state, now):
         return
     waiting = [
         job
         for job in state.waiting_jobs()
-        if now - job.arrived_at >= SEEK_AFTER_SECONDS
+        if now - job.arrived_at >= REQUEST_AFTER_SECONDS
     ]
     if waiting:
-        first = serving_order(waiting)[0]
+        first = sort_by_urgency(waiting)[0]
         step = first.waiting[0].step
         service = first.queue.service
-        _ask(state, RoomAsk(service, step.cpu, step.memory_mb, step.gpu), now)
+        _send_request(
+            state, CapacityRequest(service, step.cpu, step.memory_mb, step.gpu), now
+        )
 
 
-def seek_agents(state: EntryState, now: float) -> None:
+def request_any_agents(state: EntryState, now: float) -> None:
     """Ask other entries for any agents, if none that may get tasks is heard here.
 
     Where a data centre has no agents, has lost them all or is evacuated, its entries
     would turn callers away though these can be served elsewhere.
     """
-    if not state.hears_usable_agents(now) and _may_ask(state, now):
-        _ask(state, RoomAsk("", 0, 0, 0), now)
+    if not state.has_usable_agent(now) and _can_request(state, now):
+        _send_request(state, CapacityRequest("", 0, 0, 0), now)
 
 
-def _may_ask(state: EntryState, now: float) -> bool:
+def _can_request(state: EntryState, now: float) -> bool:
     return (
-        now >= state.search.due_at and len(state.overflow_until) < MOST_OVERFLOW_AGENTS
+        now >= state.search.due_at and len(state.overflow_until) < MAX_OVERFLOW_AGENTS
     )
 
 
-def _ask(state: EntryState, ask: RoomAsk, now: float) -> None:
+def _send_request(state: EntryState, request: CapacityRequest, now: float) -> None:
     turn = state.search.turn
-    addresses = whom_to_ask(state.entries, state.data_centre, turn, now)
+    addresses = choose_entries_to_ask(state.entries, state.data_centre, turn, now)
     if not addresses:
         return
-    state.search.begin(now)
+    state.search.record_request(now)
     for address in addresses:
         state.observe("room_asked")
-        state.send(address, ask)
+        state.send(address, request)
 
 
-def room_asked(state: EntryState, sender: str, ask: RoomAsk, now: float) -> None:
+def handle_capacity_request(
+    state: EntryState, sender: str, request: CapacityRequest, now: float
+) -> None:
     """Offer another entry agents that have room, unless jobs wait for it here."""
     if state.waiting_jobs():
         return
     search = state.search
-    agents = agents_to_offer(state.usable_views(), ask, search.offer_turn, now)
+    agents = choose_agents_to_offer(
+        state.usable_views(), request, search.offer_turn, now
+    )
     search.offer_turn += len(agents)
     if agents:
-        state.send(sender, RoomOffer(agents))
+        state.send(sender, CapacityOffer(agents))
 
 
-def room_offered(state: EntryState, sender: str, offer: RoomOffer, now: float) -> None:
+def handle_capacity_offer(
+    state: EntryState, sender: str, offer: CapacityOffer, now: float
+) -> None:
     """Speak to the agents that another entry has offered."""
     new = [address for address in offer.agents if address not in state.views]
     for address in offer.agents:
-        state.overflow_until[address] = now + OVERFLOW_SECONDS
+        state.overflow_until[address] = now + OVERFLOW_IDLE_SECONDS
     if not new:
         return
-    state.search.has_helped()
+    state.search.record_success()
     state.observe("room_offered")
     state.say(
         "uses agents for overflow",
@@ -88,13 +102,13 @@
         agents=len(state.overflow_until),
     )
     for address in new:
-        greeting = Pulse(
-            state.life, "", 0, state.data_centre, [], None, 0, state.evacuations
+        greeting = Keepalive(
+            state.incarnation, "", 0, state.data_centre, [], None, 0, state.evacuations
         )
         state.send(address, greeting)
 
 
-def release_overflow(state: EntryState, now: float) -> None:
+def release_overflow_agents(state: EntryState, now: float) -> None:
     """Let go of agents whose room has not been used for a while.
 
     Where no agent at home may get tasks they stay: without them there would be nobody.
@@ -104,6 +118,6 @@
     for address, until in list(state.overflow_until.items()):
         view = state.views.get(address)
         if view is not None and view.placed:
-            state.overflow_until[address] = now + OVERFLOW_SECONDS
+            state.overflow_until[address] = now + OVERFLOW_IDLE_SECONDS
         elif now > until:
             del state.overflow_until[address]
--- a/src/cactuswalk/dispatch/entrypeers.py
+++ b/src/cactuswalk/dispatch/entrypeers.py
@@ -15,26 +15,26 @@
 from cactuswalk.dispatch.entryknown import KnownEntry
 from cactuswalk.dispatch.entrystate import EntryState
 from cactuswalk.dispatch.evacuation import Evacuations
-from cactuswalk.dispatch.membership import FORGET_ENTRY_SECONDS, Member, digest
+from cactuswalk.dispatch.membership import FORGET_ENTRY_SECONDS, Member, digest_members
 from cactuswalk.dispatch.messages import (
-    ConfigurationAsk,
-    EntryPulse,
-    Members,
+    ConfigurationRequest,
+    EntryStatus,
+    MemberList,
 )
 
 __all__ = [
-    "configuration_read",
-    "entries_listed",
-    "evacuations_read",
-    "forget",
-    "pulse_next_entries",
-    "take_entry_pulse",
-    "take_members",
+    "handle_configuration",
+    "handle_entries",
+    "handle_evacuations",
+    "forget_silent_peers",
+    "send_status_by_turns",
+    "handle_entry_status",
+    "handle_member_list",
 ]
 
 # Others are told of an entry only so long after it was heard itself. Without a bound
 # two entries would for ever tell each other of a third that is gone for good.
-TELL_OF_SECONDS = 5.0
+ADVERTISE_SECONDS = 5.0
 
 # Agents that were silent for this long, with nothing placed there, are forgotten;
 # those that were used for overflow are expected to fall silent.
@@ -42,49 +42,51 @@
 FORGET_OVERFLOW_SECONDS = 3.0
 
 # Entries that one speaks to in a round.
-ROUND_ENTRIES = 6
+MAX_ENTRIES_PER_ROUND = 6
 
 # The list of entries goes to the same one no more often than this.
-TELL_MEMBERS_SECONDS = 1.0
+MEMBERS_INTERVAL_SECONDS = 1.0
 
 
-def take_entry_pulse(
-    state: EntryState, sender: str, pulse: EntryPulse, now: float
+def handle_entry_status(
+    state: EntryState, sender: str, status: EntryStatus, now: float
 ) -> None:
     """Take what another entry knows."""
-    member = Member(sender, pulse.data_centre)
-    entry = _meet_entry(state, sender, now)
+    member = Member(sender, status.data_centre)
+    entry = _get_or_add_entry(state, sender, now)
     entry.heard_at = now
-    entry.data_centre = pulse.data_centre
-    entry.free_cpu = pulse.free_cpu
-    _take_evacuations(state, pulse.evacuations, sender, now)
-    if pulse.version > state.version:
-        state.send(sender, ConfigurationAsk(state.version))
+    entry.data_centre = status.data_centre
+    entry.free_cpu = status.free_cpu
+    _apply_evacuations(state, status.evacuations, sender, now)
+    if status.version > state.version:
+        state.send(sender, ConfigurationRequest(state.version))
     if member not in state.members:
         refresh_members(state, now)
-    if pulse.members != state.members_digest:
-        _tell_members(state, sender, entry, now)
+    if status.members != state.members_digest:
+        _send_members(state, sender, entry, now)
 
 
-def take_members(state: EntryState, sender: str, message: Members, now: float) -> None:
+def handle_member_list(
+    state: EntryState, sender: str, message: MemberList, now: float
+) -> None:
     """Take the entries that another one knows."""
     for member in message.members:
         if member.address != state.address:
-            entry = _meet_entry(state, member.address, now)
+            entry = _get_or_add_entry(state, member.address, now)
             entry.data_centre = entry.data_centre or member.data_centre
     refresh_members(state, now)
 
 
-def _tell_members(
+def _send_members(
     state: EntryState, address: str, entry: KnownEntry, now: float
 ) -> None:
-    if now - entry.told_at < TELL_MEMBERS_SECONDS:
+    if now - entry.members_sent_at < MEMBERS_INTERVAL_SECONDS:
         return
-    entry.told_at = now
-    state.send(address, Members(list(state.members)))
+    entry.members_sent_at = now
+    state.send(address, MemberList(list(state.members)))
 
 
-def _meet_entry(state: EntryState, address: str, now: float) -> KnownEntry:
+def _get_or_add_entry(state: EntryState, address: str, now: float) -> KnownEntry:
     entry = state.entries.get(address)
     if entry is None:
         state.say("meets an entry", entry=address)
@@ -98,32 +100,34 @@
     members.extend(
         Member(address, entry.data_centre)
         for address, entry in state.entries.items()
-        if address in state.listed or now - entry.heard_at < TELL_OF_SECONDS
+        if address in state.listed_entries or now - entry.heard_at < ADVERTISE_SECONDS
     )
     members.sort()
     if members == state.members:
         return
     state.members = members
-    state.members_digest = digest(members)
+    state.members_digest = digest_members(members)
     state.members_version += 1
 
 
-def configuration_read(state: EntryState, event: ConfigurationRead, now: float) -> None:
+def handle_configuration(
+    state: EntryState, event: ConfigurationRead, now: float
+) -> None:
     """Put a configuration in force if it is newer."""
     version = event.queues.version
     if version <= state.version:
         return
     state.say("a configuration is in force", version=version, was=state.version)
     state.queues = event.queues
-    pulse_entries(state, list(state.entries), now)
+    send_status(state, list(state.entries), now)
 
 
-def evacuations_read(state: EntryState, event: EvacuationsRead, now: float) -> None:
+def handle_evacuations(state: EntryState, event: EvacuationsRead, now: float) -> None:
     """Take the evacuations as the store has them."""
-    _take_evacuations(state, event.evacuations, "the store", now)
+    _apply_evacuations(state, event.evacuations, "the store", now)
 
 
-def _take_evacuations(
+def _apply_evacuations(
     state: EntryState, evacuations: Evacuations, source: str, now: float
 ) -> None:
     """Place by newer evacuations from now on, and tell others of a change at once."""
@@ -133,7 +137,7 @@
     state.evacuations = evacuations
     if evacuations.data_centres == was.data_centres:
         return
-    state.evacuations_changed = state.place_wanted = True
+    state.evacuations_changed = state.placement_needed = True
     state.observe("evacuations_changed")
     state.say(
         "the evacuated data centres change",
@@ -142,37 +146,39 @@
         revision=evacuations.revision,
         source=source,
     )
-    pulse_entries(state, list(state.entries), now)
+    send_status(state, list(state.entries), now)
 
 
-def entries_listed(state: EntryState, event: EntriesListed, now: float) -> None:
+def handle_entries(state: EntryState, event: EntriesListed, now: float) -> None:
     """Take up the entries that the store lists."""
-    state.listed = {member.address for member in event.members} - {state.address}
+    state.listed_entries = {member.address for member in event.members} - {
+        state.address
+    }
     for member in event.members:
         if member.address != state.address:
-            entry = _meet_entry(state, member.address, now)
+            entry = _get_or_add_entry(state, member.address, now)
             entry.data_centre = member.data_centre or entry.data_centre
     refresh_members(state, now)
 
 
-def pulse_next_entries(state: EntryState, now: float) -> None:
+def send_status_by_turns(state: EntryState, now: float) -> None:
     """Tell the next few of the other entries what this one knows."""
-    state.entries_pulsed_at = now
+    state.status_sent_at = now
     refresh_members(state, now)
     addresses = sorted(state.entries)
-    count = min(ROUND_ENTRIES, len(addresses))
+    count = min(MAX_ENTRIES_PER_ROUND, len(addresses))
     if not count:
         return
-    first = state.next_pulsed % len(addresses)
-    state.next_pulsed = first + count
+    first = state.next_status_index % len(addresses)
+    state.next_status_index = first + count
     turn = itertools.islice(itertools.cycle(addresses), first, first + count)
-    pulse_entries(state, list(turn), now)
+    send_status(state, list(turn), now)
 
 
-def pulse_entries(state: EntryState, addresses: list[str], now: float) -> None:
+def send_status(state: EntryState, addresses: list[str], now: float) -> None:
     """Tell some of the other entries what this one knows."""
-    pulse = EntryPulse(
-        state.life,
+    status = EntryStatus(
+        state.incarnation,
         state.version,
         state.data_centre,
         state.members_digest,
@@ -180,13 +186,13 @@
         state.evacuations,
     )
     for address in addresses:
-        state.send(address, pulse)
+        state.send(address, status)
 
 
-def forget(state: EntryState, now: float) -> None:
+def forget_silent_peers(state: EntryState, now: float) -> None:
     """Forget entries and agents that have been silent for long."""
     for address, entry in list(state.entries.items()):
-        kept = address in state.listed or address in state.seeds
+        kept = address in state.listed_entries or address in state.seeds
         if not kept and now - entry.heard_at > FORGET_ENTRY_SECONDS:
             state.say("forgets a silent entry", entry=address)
             del state.entries[address]
@@ -195,4 +201,4 @@
         if not view.placed and now - view.heard_at > most:
             state.say("forgets a silent agent", agent=address)
             del state.views[address]
-            state.pulsed_at.pop(address, None)
+            state.keepalive_sent_at.pop(address, None)
--- a/src/cactuswalk/dispatch/entryplacing.py
+++ b/src/cactuswalk/dispatch/entryplacing.py
@@ -1,7 +1,7 @@
 """Tasks sent to workers, and what becomes of them there."""
 
-from cactuswalk.dispatch.agentview import AgentView, Placed
-from cactuswalk.dispatch.entryjobs import answer
+from cactuswalk.dispatch.agentview import AgentView, PlacedTask
+from cactuswalk.dispatch.entryjobs import answer_job
 from cactuswalk.dispatch.entrystate import READY_HEARD_SECONDS, EntryState
 from cactuswalk.dispatch.job import JobVerdict
 from cactuswalk.dispatch.jobstate import JobState, TaskState
@@ -10,70 +10,74 @@
     TaskEnd,
 )
 from cactuswalk.dispatch.ordering import (
-    serving_order,
+    sort_by_urgency,
 )
-from cactuswalk.dispatch.placement import Chooser, relative_paces
+from cactuswalk.dispatch.placement import WorkerChooser, compute_relative_paces
 
-__all__ = ["finish", "place"]
+__all__ = ["end_start", "place_tasks"]
 
 # A task that was given back twice stays where it is: it may be slow by itself.
-MOST_MOVES = 2
+MAX_RETURNS = 2
 
 
-def place(state: EntryState, now: float) -> None:
+def place_tasks(state: EntryState, now: float) -> None:
     """Send tasks that wait to the workers that have room."""
     waiting = state.waiting_jobs()
-    heard = [
+    live_views = [
         view
         for view in state.usable_views()
         if view.report.worker and now - view.heard_at < READY_HEARD_SECONDS
     ]
-    views = [view for view in heard if view.is_open(now)]
+    views = [view for view in live_views if view.is_open(now)]
     # While all are full, most turns bring room for none of the tasks that wait.
     least = min(task.step.cpu for job in waiting for task in job.waiting)
     if all(view.free_cpu < least for view in views):
         return
-    chooser = Chooser(
-        heard,
+    chooser = WorkerChooser(
+        live_views,
         views,
-        relative_paces(heard),
+        compute_relative_paces(live_views),
         state.data_centre,
         state.far_factor,
-        state.urgent(now),
+        state.urgent_priorities(now),
     )
-    for job in serving_order(waiting):
+    for job in sort_by_urgency(waiting):
         _place_job(state, job, chooser, now)
 
 
-def _place_job(state: EntryState, job: JobState, chooser: Chooser, now: float) -> None:
+def _place_job(
+    state: EntryState, job: JobState, chooser: WorkerChooser, now: float
+) -> None:
     left = []
     for number, task in enumerate(job.waiting):
-        view = chooser.choose(task, job.queue.service)
+        view = chooser.choose_worker(task, job.queue.service)
         if view is None:
             left.append(task)
-            if not task.avoid:
+            if not task.avoided_agents:
                 # Tasks of a step are alike: where one doesn't fit, none does.
                 left.extend(job.waiting[number + 1 :])
                 break
             continue
-        _start(state, task, view, now)
+        _start_task(state, task, view, now)
     job.waiting = left
 
 
-def _start(state: EntryState, task: TaskState, view: AgentView, now: float) -> None:
+def _start_task(
+    state: EntryState, task: TaskState, view: AgentView, now: float
+) -> None:
     job = task.job
     task.runs += 1
-    task.place = view.address
+    task.agent_address = view.address
     task.placed_at = now
     task.sequence = state.next_sequence
     state.next_sequence += 1
-    job.sent += 1
+    job.pending_starts += 1
     if not job.first_start_at:
         job.first_start_at = now
         state.observe("first_start_seconds", job.queue.name, now - job.arrived_at)
     start = Start(
-        state.life,
-        view.report.life,
+        state.incarnation,
+        view.report.incarnation,
         view.report.stamp,
         task.sequence,
         view.report.worker,
@@ -84,16 +88,16 @@
         task.step.memory_mb,
         task.step.gpu,
         task.step.estimate_ms,
-        len(task.avoid) < MOST_MOVES,
+        len(task.avoided_agents) < MAX_RETURNS,
     )
-    view.add(Placed(start, task, now))
+    view.add(PlacedTask(start, task, now))
     state.send(view.address, start)
 
 
-def finish(
+def end_start(
     state: EntryState,
     view: AgentView,
-    placed: Placed,
+    placed: PlacedTask,
     end: TaskEnd,
     ran_ms: int,
     reason: str,
@@ -101,23 +105,23 @@
 ) -> None:
     """Take note that a start has ended, and see to its task."""
     del view.placed[placed.start.sequence]
-    state.place_wanted = True
+    state.placement_needed = True
     task = placed.task
     if task is None:
         return
-    task.place, task.last_place = "", view.address
+    task.agent_address, task.last_agent_address = "", view.address
     job = task.job
-    job.sent -= 1
+    job.pending_starts -= 1
     if end is not TaskEnd.DECLINED:
-        job.ran = True
+        job.may_have_run = True
     if end is TaskEnd.DONE:
         _task_done(state, task, ran_ms, now)
         return
     if end is TaskEnd.DECLINED:
-        view.pass_over(now)
+        view.skip_until_report(now)
         job.declined_runs += 1
     else:
-        task.avoid.add(view.address)
+        task.avoided_agents.add(view.address)
         job.lost_runs += 1
         state.say(
             "a task runs again",
@@ -133,7 +137,7 @@
     if end is TaskEnd.FAILED:
         task.failures += 1
         if task.failures >= job.queue.attempts:
-            answer(state, job, JobVerdict.FAILED, "a task has failed", now)
+            answer_job(state, job, JobVerdict.FAILED, "a task has failed", now)
             return
     job.waiting.append(task)
 
@@ -141,7 +145,7 @@
 def _task_done(state: EntryState, task: TaskState, ran_ms: int, now: float) -> None:
     job = task.job
     task.done = True
-    task.held_seconds = now - task.placed_at
+    task.outstanding_seconds = now - task.placed_at
     task.ran_ms = ran_ms
     job.last_task = task
     job.longest_ms[task.key.step] = max(job.longest_ms[task.key.step], ran_ms)
@@ -153,6 +157,6 @@
     longest = max(1, job.longest_ms[task.key.step]) / 1000
     state.estimates[job.queue.name].observe(task.step.estimate_ms, longest)
     if any(job.remaining):
-        job.open_steps()
+        job.release_ready_steps()
         return
-    answer(state, job, JobVerdict.COMPLETED, "", now)
+    answer_job(state, job, JobVerdict.COMPLETED, "", now)
--- a/src/cactuswalk/dispatch/entrystate.py
+++ b/src/cactuswalk/dispatch/entrystate.py
@@ -3,14 +3,14 @@
 import math
 
 from cactuswalk.decisions.estimation import DurationEstimate
-from cactuswalk.dispatch.agentview import AgentView, Placed
+from cactuswalk.dispatch.agentview import AgentView, PlacedTask
 from cactuswalk.dispatch.effects import Effect, Observe, Say, SendMessage
 from cactuswalk.dispatch.entryknown import KnownEntry
 from cactuswalk.dispatch.evacuation import NOTHING_EVACUATED
 from cactuswalk.dispatch.jobstate import JobState
 from cactuswalk.dispatch.membership import Member
 from cactuswalk.dispatch.messages import Stop
-from cactuswalk.dispatch.overflow import RoomSearch
+from cactuswalk.dispatch.overflow import CapacitySearch
 from cactuswalk.dispatch.routing import Queues
 
 __all__ = ["READY_HEARD_SECONDS", "EntryState"]
@@ -24,10 +24,10 @@
 
 # Processes that were powered on together meet within so long of the first. An entry
 # that is up before its agents would refuse jobs that have the time to wait for them.
-MEETING_SECONDS = 0.3
+DISCOVERY_SECONDS = 0.3
 
 # What is told to callers as the queue's length where no worker is known.
-MOST_QUEUED_SECONDS = 5.0
+MAX_QUEUED_SECONDS = 5.0
 
 
 class EntryState:
@@ -47,14 +47,14 @@
     def __init__(
         self,
         address: str,
-        life: str,
+        incarnation: str,
         data_centre: str,
         seeds: list[str],
         far_factor: float,
         grace_seconds: float,
     ) -> None:
         self.address = address
-        self.life = life
+        self.incarnation = incarnation
         self.data_centre = data_centre
         self.seeds = [seed for seed in seeds if seed != address]
         self.far_factor = far_factor
@@ -64,22 +64,22 @@
         self.jobs: dict[str, JobState] = {}
         self.views: dict[str, AgentView] = {}
         self.entries = {seed: KnownEntry(-math.inf) for seed in self.seeds}
-        self.next_pulsed = 0
-        self.listed: set[str] = set()
+        self.next_status_index = 0
+        self.listed_entries: set[str] = set()
         self.members: list[Member] = []
         self.members_digest = 0
         self.members_version = 0
         self.overflow_until: dict[str, float] = {}
-        self.search = RoomSearch()
+        self.search = CapacitySearch()
         self.estimates: dict[str, DurationEstimate] = {}
         self.arrived_at: dict[tuple[str, int], float] = {}
         self.next_sequence = 1
         self.stop_at = 0.0
-        self.place_wanted = False
+        self.placement_needed = False
         self.evacuations_changed = False
-        self.pulsed_at: dict[str, float] = {}
-        self.entries_pulsed_at = 0.0
-        self.met_open_at = math.inf
+        self.keepalive_sent_at: dict[str, float] = {}
+        self.status_sent_at = 0.0
+        self.first_open_worker_at = math.inf
         self.effects: list[Effect] = []
 
     @property
@@ -93,9 +93,9 @@
 
     def is_ready(self, now: float) -> bool:
         """Return whether new callers should come to this entry."""
-        return self.queues is not None and not self.stop_at and self.hears_agents(now)
+        return self.queues is not None and not self.stop_at and self.has_live_agent(now)
 
-    def hears_agents(self, now: float) -> bool:
+    def has_live_agent(self, now: float) -> bool:
         """Return whether any agent has been heard lately."""
         return any(
             now - view.heard_at < READY_HEARD_SECONDS for view in self.views.values()
@@ -118,7 +118,7 @@
         known.add(self.data_centre)
         return bool(known - {""} - set(self.evacuations.data_centres))
 
-    def hears_usable_agents(self, now: float) -> bool:
+    def has_usable_agent(self, now: float) -> bool:
         """Return whether an agent that may get tasks has been heard lately."""
         evacuated = self.evacuations.data_centres
         return any(
@@ -135,23 +135,25 @@
             if view.report.home and view.is_open(now)
         )
 
-    def meets_workers(self, now: float) -> bool:
+    def is_discovering_workers(self, now: float) -> bool:
         """Return whether this entry has known no open worker until a moment ago."""
-        return now - self.met_open_at < MEETING_SECONDS
+        return now - self.first_open_worker_at < DISCOVERY_SECONDS
 
-    def queued_jobs(self, name: str) -> int:
+    def count_queued_jobs(self, name: str) -> int:
         """Return how many jobs of a queue wait here and have not started."""
         return sum(
-            job.queue.name == name and not job.started for job in self.jobs.values()
+            job.queue.name == name and not job.has_started for job in self.jobs.values()
         )
 
-    def urgent(self, now: float) -> dict[str, int]:
+    def urgent_priorities(self, now: float) -> dict[str, int]:
         """Return, by service, the first priority of which jobs have come lately."""
-        urgent: dict[str, int] = {}
+        urgent_priorities: dict[str, int] = {}
         for (service, priority), arrived_at in self.arrived_at.items():
             if now - arrived_at < URGENT_SECONDS:
-                urgent[service] = min(priority, urgent.get(service, priority))
-        return urgent
+                urgent_priorities[service] = min(
+                    priority, urgent_priorities.get(service, priority)
+                )
+        return urgent_priorities
 
     def queued_seconds(self) -> float:
         """Return what waits for room, in seconds of all workers' time."""
@@ -161,11 +163,11 @@
             placed.start.cpu for view in views for placed in view.placed.values()
         )
         waiting = sum(
-            task.step.cpu * job.expected
+            task.step.cpu * job.expected_seconds
             for job in self.jobs.values()
             for task in job.waiting
         )
-        return waiting / capacity if capacity > 0 else MOST_QUEUED_SECONDS
+        return waiting / capacity if capacity > 0 else MAX_QUEUED_SECONDS
 
     def send(self, address: str, message) -> None:
         """Have a message sent."""
@@ -179,7 +181,7 @@
         """Have an event counted, or a duration recorded."""
         self.effects.append(Observe(name, label, seconds))
 
-    def send_stop(self, view: AgentView, placed: Placed, now: float) -> None:
+    def send_stop(self, view: AgentView, placed: PlacedTask, now: float) -> None:
         """Have an agent stop a start."""
         placed.stop_sent_at = now
-        self.send(view.address, Stop(self.life, placed.start.sequence))
+        self.send(view.address, Stop(self.incarnation, placed.start.sequence))
--- a/src/cactuswalk/dispatch/jobstate.py
+++ b/src/cactuswalk/dispatch/jobstate.py
@@ -24,16 +24,16 @@
     job: "JobState"
     key: TaskKey
     step: Step
-    place: str = ""
-    last_place: str = ""
+    agent_address: str = ""
+    last_agent_address: str = ""
     sequence: int = 0
     done: bool = False
     failures: int = 0
     runs: int = 0
     placed_at: float = 0.0
-    held_seconds: float = 0.0
+    outstanding_seconds: float = 0.0
     ran_ms: int = 0
-    avoid: set[str] = msgspec.field(default_factory=set)
+    avoided_agents: set[str] = msgspec.field(default_factory=set)
 
 
 class JobState(msgspec.Struct, eq=False):
@@ -54,35 +54,35 @@
     queue: Queue
     waiters: list[int]
     arrived_at: float
-    expected: float
-    latest_start: float
-    on_time_by: float
+    expected_seconds: float
+    latest_start_at: float
+    due_at: float
     give_up_at: float
     tasks: list[TaskState] = msgspec.field(default_factory=list)
     waiting: list[TaskState] = msgspec.field(default_factory=list)
     remaining: list[int] = msgspec.field(default_factory=list)
     longest_ms: list[int] = msgspec.field(default_factory=list)
-    opened: set[int] = msgspec.field(default_factory=set)
-    sent: int = 0
-    ran: bool = False
+    opened_steps: set[int] = msgspec.field(default_factory=set)
+    pending_starts: int = 0
+    may_have_run: bool = False
     first_start_at: float = 0.0
     last_task: TaskState | None = None
     lost_runs: int = 0
     declined_runs: int = 0
 
     @property
-    def started(self) -> bool:
+    def has_started(self) -> bool:
         """Whether a task of it may have run, or may be about to."""
-        return self.ran or self.sent > 0
+        return self.may_have_run or self.pending_starts > 0
 
-    def open_steps(self) -> None:
+    def release_ready_steps(self) -> None:
         """Let the tasks wait for a place whose earlier steps are all done."""
         for number, step in enumerate(self.request.steps):
-            if number in self.opened:
+            if number in self.opened_steps:
                 continue
             if any(self.remaining[earlier] for earlier in step.after):
                 continue
-            self.opened.add(number)
+            self.opened_steps.add(number)
             self.waiting.extend(task for task in self.tasks if task.key.step == number)
 
 
@@ -96,4 +96,4 @@
             TaskState(job, TaskKey(identifier, number, index), step)
             for index in range(step.count)
         )
-    job.open_steps()
+    job.release_ready_steps()
--- a/src/cactuswalk/dispatch/membership.py
+++ b/src/cactuswalk/dispatch/membership.py
@@ -18,21 +18,21 @@
 import msgspec
 
 __all__ = [
-    "ENOUGH_NEAR",
+    "MIN_LOCAL_ENTRIES",
     "FORGET_ENTRY_SECONDS",
-    "MOST_HOME",
+    "MAX_HOME_ENTRIES",
     "Member",
-    "digest",
-    "home_entries",
-    "worth_telling",
+    "digest_members",
+    "choose_home_entries",
+    "select_candidates",
 ]
 
 # An agent's room is shared by at most so many entries: each of them hears of the
 # others' starts a little late, and two that choose the same room meet there.
-MOST_HOME = 8
+MAX_HOME_ENTRIES = 8
 
 # With so many entries in its own data centre an agent needs none elsewhere.
-ENOUGH_NEAR = 4
+MIN_LOCAL_ENTRIES = 4
 
 
 # An entry that nobody names is forgotten when it has been silent for so long. Until
@@ -51,7 +51,7 @@
     data_centre: str
 
 
-def home_entries(
+def choose_home_entries(
     directory: Mapping[str, str], data_centre: str, agent: str, silent: set[str]
 ) -> list[str]:
     """Return the entries that an agent reports to, the first choice in front.
@@ -65,13 +65,13 @@
     """
     near = [address for address, centre in directory.items() if centre == data_centre]
     far = [address for address, centre in directory.items() if centre != data_centre]
-    home, live = _first(_ranked(near, agent), silent, MOST_HOME)
-    if live >= ENOUGH_NEAR:
+    home, live = _take_live(_ranked(near, agent), silent, MAX_HOME_ENTRIES)
+    if live >= MIN_LOCAL_ENTRIES:
         return home
-    return home + _first(_ranked(far, agent), silent, MOST_HOME - live)[0]
+    return home + _take_live(_ranked(far, agent), silent, MAX_HOME_ENTRIES - live)[0]
 
 
-def worth_telling(
+def select_candidates(
     members: Iterable[Member], data_centre: str, agent: str
 ) -> list[Member]:
     """Return the members that an agent may choose its home entries from.
@@ -83,10 +83,12 @@
     near = [member for member in members if member.data_centre == data_centre]
     by_address = {member.address: member for member in members}
     far = [member.address for member in members if member.data_centre != data_centre]
-    return near + [by_address[address] for address in _ranked(far, agent)[:MOST_HOME]]
+    return near + [
+        by_address[address] for address in _ranked(far, agent)[:MAX_HOME_ENTRIES]
+    ]
 
 
-def digest(members: Iterable[Member]) -> int:
+def digest_members(members: Iterable[Member]) -> int:
     """Return a number that two equal sets of members share."""
     text = msgspec.msgpack.encode(sorted(members))
     return int.from_bytes(hashlib.blake2b(text, digest_size=6).digest())
@@ -101,7 +103,7 @@
     return hashlib.blake2b(f"{name} {address}".encode(), digest_size=8).digest()
 
 
-def _first(ranked: list[str], silent: set[str], most: int) -> tuple[list[str], int]:
+def _take_live(ranked: list[str], silent: set[str], most: int) -> tuple[list[str], int]:
     """Return the first addresses with so many live ones, and how many live there are.
 
     At most as many silent ones are kept as live ones are wanted.
--- a/src/cactuswalk/dispatch/messages.py
+++ b/src/cactuswalk/dispatch/messages.py
@@ -14,17 +14,17 @@
 from cactuswalk.frames import FrameCodec
 
 __all__ = [
-    "ConfigurationAsk",
+    "ConfigurationRequest",
     "ConfigurationCopy",
-    "Ended",
-    "EntryPulse",
+    "StartEnded",
+    "EntryStatus",
     "Envelope",
-    "Members",
+    "MemberList",
     "Message",
-    "Pulse",
+    "Keepalive",
     "Report",
-    "RoomAsk",
-    "RoomOffer",
+    "CapacityRequest",
+    "CapacityOffer",
     "Start",
     "Stop",
     "TaskEnd",
@@ -69,12 +69,12 @@
     :param leaves_in_ms: tasks are taken that end within so long; 0 if any are.
     """
 
-    life: str
-    entry_life: str
+    incarnation: str
+    entry_incarnation: str
     stamp: int
-    seen: int
+    last_sequence: int
     held: list[int]
-    hears: bool
+    hears_entry: bool
     worker: str
     service: str
     data_centre: str
@@ -86,12 +86,12 @@
     free_memory_mb: int
     free_gpu: int
     pace: float
-    members_seen: int
+    acknowledged_members: int
     home: bool
     leaves_in_ms: int
 
 
-class Pulse(msgspec.Struct, array_like=True, tag=2):
+class Keepalive(msgspec.Struct, array_like=True, tag=2):
     """An entry lets an agent go on, and returns its stamp.
 
     :param data_centre: the sender's; it hears of changes there sooner.
@@ -101,11 +101,11 @@
     :param evacuations: the newest that the sender knows of.
     """
 
-    life: str
-    agent_life: str
+    incarnation: str
+    agent_incarnation: str
     stamp: int
     data_centre: str
-    noted: list[int]
+    acknowledged: list[int]
     members: list[Member] | None
     members_version: int
     evacuations: Evacuations
@@ -117,8 +117,8 @@
     :param may_move: its agent may give it back if its worker would keep it for long.
     """
 
-    life: str
-    agent_life: str
+    incarnation: str
+    agent_incarnation: str
     stamp: int
     sequence: int
     worker: str
@@ -129,24 +129,24 @@
     memory_mb: int
     gpu: int
     estimate_ms: int
-    may_move: bool = True
+    is_returnable: bool = True
 
 
 class Stop(msgspec.Struct, array_like=True, tag=4):
     """Stop what a start began; it ends in ``Ended`` in any case."""
 
-    life: str
+    incarnation: str
     sequence: int
 
 
-class Ended(msgspec.Struct, array_like=True, tag=5):
+class StartEnded(msgspec.Struct, array_like=True, tag=5):
     """A start has ended.
 
     :param run: the number under which the worker knew it.
     :param ran_ms: how long it ran; 0 where that is not known.
     """
 
-    entry_life: str
+    entry_incarnation: str
     sequence: int
     end: TaskEnd
     run: int
@@ -154,7 +154,7 @@
     reason: str
 
 
-class EntryPulse(msgspec.Struct, array_like=True, tag=6):
+class EntryStatus(msgspec.Struct, array_like=True, tag=6):
     """An entry tells another that it is there, and what it knows.
 
     :param version: of its configuration.
@@ -163,7 +163,7 @@
     :param evacuations: the newest that the sender knows of.
     """
 
-    life: str
+    incarnation: str
     version: int
     data_centre: str
     members: int
@@ -171,7 +171,7 @@
     evacuations: Evacuations
 
 
-class ConfigurationAsk(msgspec.Struct, array_like=True, tag=7):
+class ConfigurationRequest(msgspec.Struct, array_like=True, tag=7):
     """Ask another entry for its configuration."""
 
     version: int
@@ -184,13 +184,13 @@
     value: bytes
 
 
-class Members(msgspec.Struct, array_like=True, tag=9):
+class MemberList(msgspec.Struct, array_like=True, tag=9):
     """An entry tells another which entries it knows, itself among them."""
 
     members: list[Member]
 
 
-class RoomAsk(msgspec.Struct, array_like=True, tag=10):
+class CapacityRequest(msgspec.Struct, array_like=True, tag=10):
     """An entry whose agents are full asks another for agents that have room.
 
     :param service: empty for agents of any, by one that hears none.
@@ -203,7 +203,7 @@
     gpu: int
 
 
-class RoomOffer(msgspec.Struct, array_like=True, tag=11):
+class CapacityOffer(msgspec.Struct, array_like=True, tag=11):
     """Addresses of agents that had room; empty if there were none."""
 
     agents: list[str]
@@ -211,16 +211,16 @@
 
 Message = (
     Report
-    | Pulse
+    | Keepalive
     | Start
     | Stop
-    | Ended
-    | EntryPulse
-    | ConfigurationAsk
+    | StartEnded
+    | EntryStatus
+    | ConfigurationRequest
     | ConfigurationCopy
-    | Members
-    | RoomAsk
-    | RoomOffer
+    | MemberList
+    | CapacityRequest
+    | CapacityOffer
 )
 
 
--- a/src/cactuswalk/dispatch/ordering.py
+++ b/src/cactuswalk/dispatch/ordering.py
@@ -18,29 +18,29 @@
 from cactuswalk.dispatch.jobstate import JobState
 
 __all__ = [
-    "SPARE_PART",
-    "Fate",
-    "chain_seconds",
-    "fate",
-    "retry_after",
-    "serving_order",
+    "QUEUEING_SLACK_SHARE",
+    "JobAction",
+    "critical_path_seconds",
+    "choose_action",
+    "retry_after_seconds",
+    "sort_by_urgency",
 ]
 
 # How much of the time that a job could spare it may spend waiting for room. Run
 # times are known to 40%, and workers differ by a quarter: of jobs that are started
 # at the last moment half are late, and have made the next ones late as well. Long
 # queues of one priority also leave the next no room at all.
-SPARE_PART = 0.4
+QUEUEING_SLACK_SHARE = 0.4
 
 # An answer has to be written and travel; after that the caller has left.
 ANSWER_MARGIN_SECONDS = 0.02
 
 # Callers that are refused come back no sooner: a burst lasts some seconds.
-LEAST_RETRY_SECONDS = 1.0
-MOST_RETRY_SECONDS = 10.0
+MIN_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 10.0
 
 
-class Fate(enum.Enum):
+class JobAction(enum.Enum):
     """What is to become of a job that has not ended."""
 
     WAIT = "wait"
@@ -48,7 +48,7 @@
     GIVE_UP = "give up"
 
 
-def chain_seconds(request: JobRequest, seconds: list[float]) -> float:
+def critical_path_seconds(request: JobRequest, seconds: list[float]) -> float:
     """Return how long the longest chain of steps takes.
 
     :param seconds: expected run time of a task, by step.
@@ -60,32 +60,36 @@
     return max(ends, default=0.0)
 
 
-def serving_order(jobs: list[JobState]) -> list[JobState]:
+def sort_by_urgency(jobs: list[JobState]) -> list[JobState]:
     """Return the jobs that wait for room, the one to serve first in front."""
     return sorted(
         jobs,
-        key=lambda job: (job.queue.priority, not job.started, job.latest_start),
+        key=lambda job: (job.queue.priority, not job.has_started, job.latest_start_at),
     )
 
 
-def fate(job: JobState, now: float, meets_workers: bool) -> Fate:
+def choose_action(job: JobState, now: float, is_discovering_workers: bool) -> JobAction:
     """Return whether a job goes on, is refused, or is given up.
 
     :param meets_workers: the workers are being met, so that room may come at once
         and not by the end of another job: what can still be on time waits for it.
     """
     if now >= job.give_up_at - ANSWER_MARGIN_SECONDS:
-        return Fate.GIVE_UP if job.started else Fate.REFUSE
-    latest = job.on_time_by - job.expected if meets_workers else job.latest_start
-    if not job.started and now > latest:
-        return Fate.REFUSE
-    return Fate.WAIT
+        return JobAction.GIVE_UP if job.has_started else JobAction.REFUSE
+    latest = (
+        job.due_at - job.expected_seconds
+        if is_discovering_workers
+        else job.latest_start_at
+    )
+    if not job.has_started and now > latest:
+        return JobAction.REFUSE
+    return JobAction.WAIT
 
 
-def retry_after(queued_seconds: float) -> float:
+def retry_after_seconds(queued_seconds: float) -> float:
     """Return after how many seconds a refused caller may come back.
 
     :param queued_seconds: what waits, in seconds of all workers' time.
     """
-    pause = math.ceil(LEAST_RETRY_SECONDS + queued_seconds)
-    return float(min(MOST_RETRY_SECONDS, pause))
+    pause = math.ceil(MIN_RETRY_SECONDS + queued_seconds)
+    return float(min(MAX_RETRY_SECONDS, pause))
--- a/src/cactuswalk/dispatch/overflow.py
+++ b/src/cactuswalk/dispatch/overflow.py
@@ -14,25 +14,25 @@
 
 from cactuswalk.dispatch.agentview import AgentView
 from cactuswalk.dispatch.entryknown import KnownEntry
-from cactuswalk.dispatch.messages import RoomAsk
+from cactuswalk.dispatch.messages import CapacityRequest
 
-__all__ = ["RoomSearch", "agents_to_offer", "whom_to_ask"]
+__all__ = ["CapacitySearch", "choose_agents_to_offer", "choose_entries_to_ask"]
 
 # Data centres asked at a time: what is known of their room is old by a second.
-ASKED_CENTRES = 2
+MAX_ASKED_DATA_CENTRES = 2
 
 # An entry that spoke longer ago than this may be gone: two rounds of pulses.
-HEARD_SECONDS = 5.0
+ENTRY_LIVE_SECONDS = 5.0
 
 # Addresses in an offer.
-MOST_OFFERED = 4
+MAX_OFFERED_AGENTS = 4
 
 # Between two questions, in seconds: while answers help, and at most.
-LEAST_PAUSE_SECONDS = 0.03
-MOST_PAUSE_SECONDS = 0.4
+MIN_PAUSE_SECONDS = 0.03
+MAX_PAUSE_SECONDS = 0.4
 
 
-class RoomSearch(msgspec.Struct):
+class CapacitySearch(msgspec.Struct):
     """How an entry's search for room goes.
 
     :param due_at: it may ask again from then on.
@@ -41,22 +41,22 @@
     """
 
     due_at: float = 0.0
-    pause: float = LEAST_PAUSE_SECONDS
+    pause: float = MIN_PAUSE_SECONDS
     turn: int = 0
     offer_turn: int = 0
 
-    def begin(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Take note of a question; the next one may have to wait longer."""
         self.due_at = now + self.pause
-        self.pause = min(MOST_PAUSE_SECONDS, 2 * self.pause)
+        self.pause = min(MAX_PAUSE_SECONDS, 2 * self.pause)
         self.turn += 1
 
-    def has_helped(self) -> None:
+    def record_success(self) -> None:
         """Take note of an answer that brought new agents."""
-        self.pause = LEAST_PAUSE_SECONDS
+        self.pause = MIN_PAUSE_SECONDS
 
 
-def whom_to_ask(
+def choose_entries_to_ask(
     entries: Mapping[str, KnownEntry], data_centre: str, turn: int, now: float
 ) -> list[str]:
     """Return the addresses of entries that may know of room.
@@ -67,7 +67,7 @@
     """
     heard: dict[str, dict[str, KnownEntry]] = {}
     for address, entry in entries.items():
-        if now - entry.heard_at < HEARD_SECONDS:
+        if now - entry.heard_at < ENTRY_LIVE_SECONDS:
             heard.setdefault(entry.data_centre, {})[address] = entry
     if len(heard) > 1:
         heard.pop(data_centre, None)
@@ -76,31 +76,31 @@
         key=lambda centre: -max(entry.free_cpu for entry in centre.values()),
     )
     return [
-        next(iter(_by_turns(sorted(centre), turn, 1)))
-        for centre in roomiest[:ASKED_CENTRES]
+        next(iter(_rotate(sorted(centre), turn, 1)))
+        for centre in roomiest[:MAX_ASKED_DATA_CENTRES]
     ]
 
 
-def agents_to_offer(
-    views: Iterable[AgentView], ask: RoomAsk, turn: int, now: float
+def choose_agents_to_offer(
+    views: Iterable[AgentView], request: CapacityRequest, turn: int, now: float
 ) -> list[str]:
     """Return the addresses of home agents that have room for a task."""
     roomy = [
         view
         for view in views
         if view.report.home
-        and ask.service in ("", view.report.service)
+        and request.service in ("", view.report.service)
         and view.is_open(now)
         and not view.report.trial
         and not view.report.leaves_in_ms
-        and view.fits(ask.cpu, ask.memory_mb, ask.gpu)
+        and view.fits(request.cpu, request.memory_mb, request.gpu)
     ]
     roomy.sort(key=lambda view: -view.free_cpu)
-    best = [view.address for view in roomy[: 2 * MOST_OFFERED]]
-    return list(_by_turns(best, turn, MOST_OFFERED))
+    best = [view.address for view in roomy[: 2 * MAX_OFFERED_AGENTS]]
+    return list(_rotate(best, turn, MAX_OFFERED_AGENTS))
 
 
-def _by_turns(items: list[str], turn: int, count: int) -> Iterable[str]:
+def _rotate(items: list[str], turn: int, count: int) -> Iterable[str]:
     """Return some of the items, beginning further on at each turn."""
     if not items:
         return []
--- a/src/cactuswalk/dispatch/placement.py
+++ b/src/cactuswalk/dispatch/placement.py
@@ -25,7 +25,12 @@
 from cactuswalk.dispatch.jobstate import TaskState
 from cactuswalk.dispatch.leaving import can_finish_in_time
 
-__all__ = ["Chooser", "any_large_enough", "can_ever_run", "relative_paces"]
+__all__ = [
+    "WorkerChooser",
+    "any_large_enough",
+    "can_ever_run",
+    "compute_relative_paces",
+]
 
 # A worker elsewhere counts as this much slower.
 REMOTE_FACTOR = 1.3
@@ -33,7 +38,7 @@
 # What a full worker's room counts for: its cost is FULL_PART + 1 over FULL_PART
 # times an empty one's, as much as the slowest and the fastest sound worker differ
 # twice over.
-FULL_PART = 0.4
+FULL_WORKER_WEIGHT = 0.4
 
 # Slower than this, relative to the others, a worker is not used while a task can
 # wait: a job is on time within 1.6 times its run time.
@@ -41,14 +46,14 @@
 
 # What tasks that are less urgent leave free of each worker's room: with more of it the
 # long tasks lose more than the short ones gain.
-KEPT_PART = 0.1
+RESERVED_SHARE = 0.1
 
 # A worker that is slow gets no more than one task from an entry, by which it is
 # seen to have recovered.
-PROBE_TASKS = 1
+MAX_PROBES = 1
 
 
-def relative_paces(views: list[AgentView]) -> dict[str, float]:
+def compute_relative_paces(views: list[AgentView]) -> dict[str, float]:
     """Return each worker's run times relative to the middle one's."""
     if not views:
         return {}
@@ -56,7 +61,7 @@
     return {view.address: view.report.pace / middle for view in views}
 
 
-class Chooser:
+class WorkerChooser:
     """Chooses workers for the tasks of one turn.
 
     :param heard: agents that are heard.
@@ -68,15 +73,15 @@
 
     def __init__(
         self,
-        heard: list[AgentView],
+        live_views: list[AgentView],
         views: list[AgentView],
         paces: dict[str, float],
         data_centre: str,
         far_factor: float,
-        urgent: dict[str, int],
+        urgent_priorities: dict[str, int],
     ) -> None:
-        self.heard = heard
-        self.urgent = urgent
+        self.live_views = live_views
+        self.urgent_priorities = urgent_priorities
         self.paces = paces
         self.data_centre = data_centre
         self.far_factor = far_factor
@@ -85,25 +90,25 @@
         # no worker had room. In a burst hundreds of tasks wait, and each turn would
         # look for room for all of them at all workers: more time than serving what
         # there is room for.
-        self.no_room: dict[tuple[str, bool], tuple[int, int, int]] = {}
+        self.unplaceable_sizes: dict[tuple[str, bool], tuple[int, int, int]] = {}
 
-    def choose(self, task: TaskState, service: str) -> AgentView | None:
+    def choose_worker(self, task: TaskState, service: str) -> AgentView | None:
         """Return the agent that is to have a task, or None if it has to wait."""
         step = task.step
         size = (step.cpu, step.memory_mb, step.gpu)
-        leaves_room = self._leaves_room(task, service)
-        least = self.no_room.get((service, leaves_room))
+        reserves_room = self._reserves_room(task, service)
+        least = self.unplaceable_sizes.get((service, reserves_room))
         if least is not None and all(map(operator.ge, size, least)):
             return None
-        best = self._cheapest(task, service, leaves_room)
-        if best is None and not (step.label or step.per_worker or task.avoid):
-            self.no_room[service, leaves_room] = size
+        best = self._find_cheapest(task, service, reserves_room)
+        if best is None and not (step.label or step.per_worker or task.avoided_agents):
+            self.unplaceable_sizes[service, reserves_room] = size
         return best
 
-    def _cheapest(
-        self, task: TaskState, service: str, leaves_room: bool
+    def _find_cheapest(
+        self, task: TaskState, service: str, reserves_room: bool
     ) -> AgentView | None:
-        trusted_only = self._wants_trusted(task, service)
+        trusted_only = self._needs_trusted_worker(task, service)
         best = None
         best_cost = 0.0
         step = task.step
@@ -112,11 +117,11 @@
             if cpu > view.free_cpu:
                 continue
             # A task that fills a worker alone would otherwise never have a place.
-            if leaves_room and not view.is_empty():
-                cpu += int(KEPT_PART * view.report.cpu)
+            if reserves_room and not view.is_empty():
+                cpu += int(RESERVED_SHARE * view.report.cpu)
             if not view.fits(cpu, step.memory_mb, step.gpu):
                 continue
-            if not self._may(view, task, service):
+            if not self._is_eligible(view, task, service):
                 continue
             if trusted_only and not _is_trusted(view, task):
                 continue
@@ -125,7 +130,7 @@
                 best, best_cost = view, cost
         return best
 
-    def _wants_trusted(self, task: TaskState, service: str) -> bool:
+    def _needs_trusted_worker(self, task: TaskState, service: str) -> bool:
         """Return whether a task's last attempt is kept for a worker that is trusted.
 
         A worker that fails all it starts has the most room: the last attempt would
@@ -133,26 +138,26 @@
         """
         if not task.failures or task.failures + 1 < task.job.queue.attempts:
             return False
-        trusted = [view for view in self.heard if _is_trusted(view, task)]
+        trusted = [view for view in self.live_views if _is_trusted(view, task)]
         return any(is_large_enough(view, task.step, service) for view in trusted)
 
-    def _leaves_room(self, task: TaskState, service: str) -> bool:
+    def _reserves_room(self, task: TaskState, service: str) -> bool:
         """Return whether a task is to leave room for more urgent ones."""
         priority = task.job.queue.priority
-        return priority > self.urgent.get(service, priority)
+        return priority > self.urgent_priorities.get(service, priority)
 
     def _cost(self, view: AgentView, task: TaskState) -> float:
         cost = self.paces[view.address]
         if view.report.data_centre != self.data_centre:
             cost *= REMOTE_FACTOR
-        cost /= FULL_PART + view.free_part()
+        cost /= FULL_WORKER_WEIGHT + view.free_fraction()
         if task.step.rack and task.step.rack not in view.report.labels:
             cost *= self.far_factor
-        if view.address in task.avoid:
+        if view.address in task.avoided_agents:
             cost *= SLOW_FACTOR
         return cost
 
-    def _may(self, view: AgentView, task: TaskState, service: str) -> bool:
+    def _is_eligible(self, view: AgentView, task: TaskState, service: str) -> bool:
         step = task.step
         if view.report.service != service:
             return False
@@ -165,17 +170,17 @@
             step.estimate_ms * view.report.pace, left_ms
         ):
             return False
-        if self.paces[view.address] > SLOW_FACTOR and len(view.placed) >= PROBE_TASKS:
+        if self.paces[view.address] > SLOW_FACTOR and len(view.placed) >= MAX_PROBES:
             return False
-        return not step.per_worker or _count(view, task) < step.per_worker
+        return not step.per_worker or _count_step_tasks(view, task) < step.per_worker
 
 
 def _is_trusted(view: AgentView, task: TaskState) -> bool:
     """Return whether a worker is sound, and has not failed this task before."""
-    return not view.report.trial and view.address not in task.avoid
+    return not view.report.trial and view.address not in task.avoided_agents
 
 
-def _count(view: AgentView, task: TaskState) -> int:
+def _count_step_tasks(view: AgentView, task: TaskState) -> int:
     return sum(
         placed.start.key.job == task.key.job and placed.start.key.step == task.key.step
         for placed in view.placed.values()
--- a/src/cactuswalk/runtime/dispatchentry.py
+++ b/src/cactuswalk/runtime/dispatchentry.py
@@ -25,7 +25,7 @@
 from cactuswalk.dispatch.evacuation import Evacuations
 from cactuswalk.dispatch.job import JobRequest, JobVerdict
 from cactuswalk.dispatch.membership import Member
-from cactuswalk.dispatch.messages import ConfigurationAsk, ConfigurationCopy
+from cactuswalk.dispatch.messages import ConfigurationCopy, ConfigurationRequest
 from cactuswalk.dispatch.routing import Queue, Queues
 from cactuswalk.observations import Part
 from cactuswalk.platform.callers import CallerHandler, JobResult, make_readiness_handler
@@ -153,7 +153,7 @@
 
     def count_queued(self, queue: Queue) -> int:
         """Return how many jobs of a queue wait here."""
-        return self.state.queued_jobs(queue.name)
+        return self.state.count_queued_jobs(queue.name)
 
     def is_stopping(self) -> bool:
         """Return whether connections are to be given up."""
@@ -279,7 +279,7 @@
 
     def _received(self, sender: str, message) -> Received:
         """Hand configurations over here; all other messages are the reducer's."""
-        if isinstance(message, ConfigurationAsk) and self.configuration:
+        if isinstance(message, ConfigurationRequest) and self.configuration:
             copy = ConfigurationCopy(self.state.queues.version, self.configuration)
             self.host.transport.send(sender, copy, now())
         elif isinstance(message, ConfigurationCopy):
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -34,26 +34,26 @@
     SourceChange(
         "room kept for the most urgent kind",
         f"{DISPATCH}/placement.py",
-        "KEPT_PART = 0.1",
-        "KEPT_PART = 0.0",
+        "RESERVED_SHARE = 0.1",
+        "RESERVED_SHARE = 0.0",
     ),
     SourceChange(
         "refusal when the latest start has passed",
         f"{DISPATCH}/ordering.py",
-        "SPARE_PART = 0.4",
-        "SPARE_PART = 50.0",
+        "QUEUEING_SLACK_SHARE = 0.4",
+        "QUEUEING_SLACK_SHARE = 50.0",
     ),
     SourceChange(
         "priorities in the order of serving",
         f"{DISPATCH}/ordering.py",
-        "key=lambda job: (job.queue.priority, not job.started",
-        "key=lambda job: (not job.started",
+        "key=lambda job: (job.queue.priority, not job.has_started",
+        "key=lambda job: (not job.has_started",
     ),
     SourceChange(
         "jobs that have begun go first",
         f"{DISPATCH}/ordering.py",
-        "(job.queue.priority, not job.started, job.latest_start)",
-        "(job.queue.priority, job.latest_start)",
+        "(job.queue.priority, not job.has_started, job.latest_start_at)",
+        "(job.queue.priority, job.latest_start_at)",
     ),
     SourceChange(
         "trial of a worker that fails",
@@ -88,8 +88,8 @@
     SourceChange(
         "emptier workers first",
         f"{DISPATCH}/placement.py",
-        "FULL_PART = 0.4",
-        "FULL_PART = 1e6",
+        "FULL_WORKER_WEIGHT = 0.4",
+        "FULL_WORKER_WEIGHT = 1e6",
     ),
     SourceChange(
         "workers of the own data centre first",
--- a/tools/ablation_play.py
+++ b/tools/ablation_play.py
@@ -59,13 +59,13 @@
 def late(workers) -> None:
     """Let all workers carry out 6% of the calls four seconds late."""
     for worker in workers:
-        worker.deaf, worker.late = 0.06, 4.0
+        worker.unanswered_share, worker.late = 0.06, 4.0
 
 
 def mute(workers) -> None:
     """Let five workers lose 14% of their answers."""
     for worker in workers[:5]:
-        worker.mute = 0.14
+        worker.unconfirmed_share = 0.14
 
 
 PATTERNS = {
