--- a/src/cactuswalk/platform/__init__.py
+++ b/src/cactuswalk/platform/__init__.py
@@ -1,5 +1,5 @@
-"""What the platform calls things, and how it is spoken to: this package alone knows.
+"""Adapter to the platform: the only package that knows its names and protocols.
 
-``keyvalue`` is the cells' view of the store, ``metadata`` the dispatch programs';
-neither is loaded by a process that has no use for it.
+The cells use the key-value service through ``keyvalue``, the dispatch programs the
+metadata store through ``metadata``. A process imports only the one that it uses.
 """
--- a/src/cactuswalk/platform/announcements.py
+++ b/src/cactuswalk/platform/announcements.py
@@ -1,4 +1,4 @@
-"""HTTP for the worker on the same host: its heartbeats and its leave."""
+"""HTTP handler for the worker on the same host: heartbeats and deregistration."""
 
 from collections.abc import Callable
 
@@ -17,10 +17,11 @@
 
 
 class AnnouncementHandler:
-    """Handles heartbeats.
+    """Turns a worker's heartbeats and deregistration into events.
 
-    :param feed: takes each event.
-    :param warn: takes the error of a heartbeat that can't be used.
+    :param service: that the worker must belong to, empty for any.
+    :param on_event: called with each event.
+    :param on_malformed: called with the error of each rejected heartbeat.
     """
 
     def __init__(
@@ -34,7 +35,7 @@
         self.on_malformed = on_malformed
 
     async def handle(self, request: BaseRequest) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         if not request.path.startswith(INSTANCES_PATH):
             return json_response(404, {})
         identifier = request.path[len(INSTANCES_PATH) :]
--- a/src/cactuswalk/platform/callers.py
+++ b/src/cactuswalk/platform/callers.py
@@ -1,4 +1,7 @@
-"""HTTP for the platform's callers and its balancer: translated, not decided."""
+"""HTTP handlers for callers and for the load balancer's readiness probe.
+
+They translate requests and responses; all decisions are the backend's.
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -18,20 +21,23 @@
 
 __all__ = ["CallerHandler", "JobResult", "JobBackend"]
 
-# How long the caller waits, in milliseconds.
+# How long the caller waits for the response, in milliseconds.
 DEADLINE_HEADER = "X-Deadline-Ms"
-# Where a caller doesn't say: longer than callers usually wait.
+# Used when a caller sends no deadline; longer than callers usually wait.
 DEFAULT_WAIT_SECONDS = 6.0
 
 STATE_NAMES = {JobVerdict.COMPLETED: "completed", JobVerdict.FAILED: "failed"}
 
-# A job that has not run may be handed in elsewhere; after the other the platform's
-# callers send it again, since nobody knows what has run.
+# 503: the job has not run and may be submitted to another dispatcher. 504: it is not
+# known what has run; the platform's callers submit the job again.
 HTTP_STATUSES = {JobVerdict.NOT_RUN: 503, JobVerdict.UNFINISHED: 504}
 
 
 class JobResult(msgspec.Struct):
-    """How a job ended, for the caller who waits."""
+    """The end of a job, as reported to the waiting caller.
+
+    :param retry_after: seconds, for the ``Retry-After`` header; 0 for none.
+    """
 
     verdict: JobVerdict
     reason: str
@@ -39,34 +45,34 @@
 
 
 class JobBackend(Protocol):
-    """What the edge hands requests to."""
+    """What the handler calls to serve requests."""
 
     def queues(self) -> Queues | None:
-        """Return the queues in force, None before any are known."""
+        """Return the current queues, or None before a configuration is known."""
 
     async def submit(
         self, queue: Queue, request: JobRequest, wait_seconds: float
     ) -> JobResult:
-        """Wait for the end of a job; cancelled if its caller leaves."""
+        """Run a job and wait for its end; cancelled if the caller disconnects."""
 
     def cancel(self, job: str) -> bool:
         """Cancel a job; return whether it was known."""
 
     def count_queued(self, queue: Queue) -> int:
-        """Return how many jobs of a queue wait."""
+        """Return the number of waiting jobs of a queue."""
 
     def is_stopping(self) -> bool:
-        """Return whether connections are to be given up."""
+        """Return whether the process stops and connections should be closed."""
 
 
 class CallerHandler:
-    """Handles requests of callers."""
+    """Handles job requests of callers."""
 
     def __init__(self, backend: JobBackend) -> None:
         self.backend = backend
 
     async def handle(self, request: BaseRequest) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         response = await self._respond(request)
         if self.backend.is_stopping():
             response.force_close()
@@ -76,12 +82,12 @@
         queues = self.backend.queues()
         if queues is None:
             return error_response(
-                503, "no_configuration", "there is no configuration yet", 1
+                503, "no_configuration", "no configuration has been read yet", 1
             )
         queue = queues.find(request.headers.get("Host", ""), request.path)
         if queue is None:
             return error_response(
-                404, "no_such_queue", "no queue has this host and path"
+                404, "no_such_queue", "no queue matches this host and path"
             )
         job_id = request.path[len(queue.prefix) :]
         if not job_id and request.method == "GET":
@@ -90,24 +96,24 @@
             )
         if not is_job_identifier(job_id):
             return error_response(
-                400, "malformed_job", "the path ends in no job's identifier"
+                400, "malformed_job", "the path does not end in a job identifier"
             )
         if request.method == "POST":
             return await self._submit(request, queue, job_id, queues.body_bytes)
         if request.method == "DELETE" and self.backend.cancel(job_id):
             return json_response(200, {})
         if request.method in ("GET", "DELETE"):
-            return error_response(410, "no_such_job", "no such job is kept")
-        return error_response(405, "method", "use GET, POST or DELETE")
+            return error_response(410, "no_such_job", "the job is unknown or has ended")
+        return error_response(405, "method", "only GET, POST and DELETE are allowed")
 
     async def _submit(
         self, request: BaseRequest, queue: Queue, job_id: str, limit: int
     ) -> Response:
         if (request.content_length or 0) > limit:
-            return error_response(413, "too_large", f"a body has at most {limit} bytes")
+            return error_response(413, "too_large", f"the body is over {limit} bytes")
         body = await request.read()
         if len(body) > limit:
-            return error_response(413, "too_large", f"a body has at most {limit} bytes")
+            return error_response(413, "too_large", f"the body is over {limit} bytes")
         try:
             job = read_job(job_id, body)
         except UnsupportedJobError as error:
@@ -140,7 +146,10 @@
 def error_response(
     status: int, code: str, reason: str, retry_after: float = 0
 ) -> Response:
-    """Return a refusal with its code and, for one that may pass, when to return."""
+    """Return an error response.
+
+    :param retry_after: seconds until a retry may succeed; 0 sends no header.
+    """
     response = json_response(status, {"code": code, "reason": reason})
     if retry_after:
         response.headers["Retry-After"] = str(int(retry_after))
@@ -148,9 +157,9 @@
 
 
 def make_readiness_handler(is_ready: Callable[[], Awaitable[bool]]):
-    """Return the handler that the balancer asks.
+    """Return the handler for the load balancer's readiness probe.
 
-    :param is_ready: tells whether new callers should come; may take its time.
+    :param is_ready: returns whether to accept new callers; may be slow.
     """
 
     async def handle(request: BaseRequest) -> Response:
--- a/src/cactuswalk/platform/calllimiter.py
+++ b/src/cactuswalk/platform/calllimiter.py
@@ -1,8 +1,8 @@
-"""The gate that every call to the key-value service goes through.
+"""Limiter that every call to the key-value service passes through.
 
-It joins the call budget and the back-off of one process, and while the service
-fails it lets one call at a time through as a probe, so that its return meets
-one call a process, not every call that has been waiting.
+It combines the call budget and the back-off of one process. While the service
+fails, it permits one call at a time as a probe. A service that recovers therefore
+receives one call from each process instead of all waiting calls at once.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class CallPermit:
-    """One call on its way; ``timeout`` is what it may take."""
+    """Permission for one call; ``timeout`` is the call's timeout in seconds."""
 
     __slots__ = ("probe", "started", "timeout")
 
@@ -28,9 +28,11 @@
 
 
 class CallLimiter:
-    """Let calls pass as budget and back-off allow.
+    """Permits calls as budget and back-off allow.
 
-    :param shortest_timeout: time-out of a call while the service is well.
+    :param min_timeout: seconds for a call while the service is healthy; raised
+        while calls time out.
+    :param count: called with the name of a counter to increment.
     """
 
     def __init__(
@@ -52,10 +54,10 @@
         self.probe_ended = asyncio.Event()
 
     async def acquire(self, cost: float, deadline: float) -> CallPermit:
-        """Wait for a passage; the call itself may then run past the deadline.
+        """Wait for a permit; the call itself may then run past the deadline.
 
-        :raises UnavailableError: if there is none before the deadline; then
-            nothing has been sent.
+        :raises UnavailableError: if there is no permit before the deadline;
+            nothing has been sent then.
         """
         while True:
             now = self.clock()
@@ -75,7 +77,7 @@
         return CallPermit(now, self.timeout, self.probing)
 
     def record_success(self, permit: CallPermit) -> None:
-        """Take note that a call was answered."""
+        """Record that a call was answered."""
         now = self.clock()
         self.timeout = adapt_timeout(
             self.min_timeout, permit.timeout, now - permit.started
@@ -86,7 +88,7 @@
         self._end_probe(permit)
 
     def record_failure(self, permit: CallPermit, timed_out: bool) -> None:
-        """Take note that a call was not answered."""
+        """Record that a call was not answered."""
         now = self.clock()
         if timed_out:
             self.timeout = adapt_timeout(self.min_timeout, permit.timeout, None)
@@ -94,11 +96,11 @@
         self._end_probe(permit)
 
     def release(self, permit: CallPermit) -> None:
-        """Take note that nobody waits for a call's answer any more."""
+        """Give a permit back without a result; does nothing after a result."""
         self._end_probe(permit)
 
     def _end_probe(self, permit: CallPermit) -> None:
-        # Ended once only: by the second time the probe may be another call's.
+        # A permit ends its probe only once; later the probe may be another call's.
         if permit.probe:
             permit.probe = False
             self.probing = False
@@ -115,12 +117,12 @@
     def _refuse(self) -> None:
         self.count("platform.held_back")
         raise UnavailableError(
-            "no call to the key-value service was possible in time:"
+            "no call to the key-value service was permitted before the deadline:"
             f" {self.backoff.failures} failures in a row",
-            "Wait for the service to answer; if it does, the call budget of"
-            " this process is too small for what it is asked to do.",
+            "Wait for the service to answer. If it does answer, the call budget of"
+            " this process is too small for its load.",
         )
 
 
-# A watch waits without a deadline, and a timer can't be set to infinity.
+# A watch has an infinite deadline, which a timer can't be set to.
 MAX_SLEEP_SECONDS = 60.0
--- a/src/cactuswalk/platform/configuration.py
+++ b/src/cactuswalk/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, as it lies in the platform's store."""
+"""Decoder for the operator's configuration in the platform's store."""
 
 import msgspec
 
@@ -7,20 +7,24 @@
 
 __all__ = ["UnreadableConfigurationError", "read_configuration"]
 
-# Where the platform's limits don't say.
+# Used where the configuration leaves a value out.
 DEFAULT_BODY_BYTES = 262_144
 DEFAULT_ATTEMPTS = 1
 DEFAULT_STRETCH_FACTOR = 1.0
 
 
 class UnreadableConfigurationError(PlatformError):
-    """What lies under the configuration's key is none."""
+    """The value of the configuration's key can't be decoded."""
 
     code = "unreadable_configuration"
 
 
 class RouteBody(msgspec.Struct):
-    """A queue on the wire; ``target_latency_ms`` is added to the stretched time."""
+    """A queue on the wire, which the platform calls a route.
+
+    ``target_latency_ms`` is no target: it is an allowance that is added to the
+    stretched time.
+    """
 
     name: str
     host: str
@@ -50,16 +54,16 @@
 
 
 def read_configuration(value: bytes) -> Queues:
-    """Return the queues of a configuration.
+    """Return the queues of an encoded configuration.
 
-    :raises UnreadableConfigurationError: if the value is none.
+    :raises UnreadableConfigurationError: if the value can't be decoded.
     """
     try:
         body = _decoder.decode(value)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise UnreadableConfigurationError(
-            f"the configuration can't be read: {error}",
-            "Write the configuration again; the last one stays in force.",
+            f"the configuration can't be decoded: {error}",
+            "Write a valid configuration; the last valid one stays in effect.",
         ) from error
     queues = [_read_route(route) for route in body.routes]
     return Queues(body.version, queues, body.limits.max_body_bytes)
--- a/src/cactuswalk/platform/connection.py
+++ b/src/cactuswalk/platform/connection.py
@@ -1,4 +1,4 @@
-"""One call to the key-value service over HTTP, and what its failure means."""
+"""HTTP calls to the key-value service, and the classification of failures."""
 
 import asyncio
 import collections.abc
@@ -11,42 +11,42 @@
 
 __all__ = ["Connection", "HttpConnection"]
 
-# Statuses of the gateway for calls that it has certainly not carried out:
-# malformed, no or wrong token, no right, no such lease, not implemented.
+# HTTP statuses with which the gateway has certainly not executed the call:
+# malformed, missing or wrong token, no permission, unknown lease, not implemented.
 NOT_EXECUTED_STATUSES = frozenset({400, 401, 403, 404, 501})
 
-# One call at a time to probe with, a few side by side, and the watch.
+# For a probe, a few concurrent calls and a watch.
 MAX_CONNECTIONS = 8
 
 
 class Connection(typing.Protocol):
-    """The network, as this package uses it; tests put a fake in its place."""
+    """Transport for calls and watches; tests replace it with a fake."""
 
     async def call(self, path: str, body: bytes, timeout_seconds: float) -> bytes:
-        """Return the body of an answer that came ``within`` seconds.
+        """Return the body of the response.
 
-        :raises CallFailedError: if there was none.
-        :raises CallRefusedError: if the service refused the call for certain.
+        :raises CallFailedError: if there was no usable response in time.
+        :raises CallRefusedError: if the service certainly did not execute the call.
         """
         ...
 
     def stream(
         self, path: str, body: bytes, timeout_seconds: float
     ) -> collections.abc.AsyncGenerator[bytes, None]:
-        """Yield the answer as it comes; ``within`` holds until it begins."""
+        """Yield the response body as it arrives; the timeout is for its beginning."""
         ...
 
     async def close(self) -> None:
-        """Close what is open."""
+        """Close all connections."""
         ...
 
 
 class HttpConnection:
-    """Calls through aiohttp, to one endpoint until it fails, then the next.
+    """Connection over aiohttp that uses one endpoint until it fails, then the next.
 
     :param endpoints: base addresses, ``http://ip:port``.
-    :param client_name: sent along, so that the service can tell who calls.
-    :param token: of the service's access control, empty for none.
+    :param client_name: sent with each request to identify the caller.
+    :param token: authorization token, empty for none.
     """
 
     def __init__(self, endpoints: list[str], client_name: str, token: str = "") -> None:
@@ -58,7 +58,7 @@
         self.session: aiohttp.ClientSession | None = None
 
     async def call(self, path: str, body: bytes, timeout_seconds: float) -> bytes:
-        """Return the body of an answer."""
+        """Return the body of the response."""
         limit = aiohttp.ClientTimeout(total=timeout_seconds)
         endpoint = self.endpoint_index
         try:
@@ -72,7 +72,7 @@
     async def stream(
         self, path: str, body: bytes, timeout_seconds: float
     ) -> collections.abc.AsyncGenerator[bytes, None]:
-        """Yield the answer as it comes, in pieces of any size."""
+        """Yield the response body as it arrives, in chunks of any size."""
         limit = aiohttp.ClientTimeout(total=None)
         endpoint = self.endpoint_index
         try:
@@ -88,7 +88,7 @@
         except (aiohttp.ClientError, OSError) as error:
             raise self._fail_over(path, error, endpoint) from error
         finally:
-            # A watch never ends by itself: the connection can't be used again.
+            # A watch response never ends, so its connection can't be reused.
             response.close()
 
     async def close(self) -> None:
@@ -107,15 +107,15 @@
         return self.session.post(url, data=body, timeout=limit)
 
     def _fail_over(self, path: str, error: Exception, endpoint: int) -> CallFailedError:
-        # Only the call that met the failure moves on: of several that fail
-        # together the second would come back to the broken endpoint.
+        # Only switches away from the endpoint that failed. If several calls fail
+        # together, the second switch would lead back to the broken endpoint.
         if endpoint == self.endpoint_index:
             self.endpoint_index = (endpoint + 1) % len(self.endpoints)
-        # Only a connection that never was carries no request. A connection that
-        # broke, or an answer that didn't come, leaves it open what was done.
+        # Nothing was sent only if the connection could not be established. After
+        # a broken connection or a timeout the call may have been executed.
         sent = not isinstance(error, aiohttp.ClientConnectorError)
         timed_out = isinstance(error, TimeoutError)
-        reason = "no answer in time" if timed_out else f"{error!r}"
+        reason = "no response in time" if timed_out else f"{error!r}"
         text = f"{path} at {self.endpoints[endpoint]} failed: {reason}"
         return CallFailedError(text, sent, timed_out)
 
@@ -125,9 +125,11 @@
         return
     text = data[:200].decode(errors="replace")
     if status not in NOT_EXECUTED_STATUSES:
-        # 5xx: the request may have been carried out behind a gateway that gave
-        # up on it, as etcd's own "request timed out" may.
-        raise CallFailedError(f"{path} ended in {status}: {text}", sent=True)
+        # 5xx: the request may have been executed although the gateway gave up on
+        # it, as with etcd's own "request timed out".
+        raise CallFailedError(
+            f"{path} returned HTTP status {status}: {text}", sent=True
+        )
     try:
         reply = protocol.decode(data, protocol.ErrorReply)
     except CallFailedError:
--- a/src/cactuswalk/platform/errors.py
+++ b/src/cactuswalk/platform/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with the platform's key-value service, for a person."""
+"""Errors of calls to the platform's stores, with a remedy for the operator."""
 
 from cactuswalk.errors import CactuswalkError
 
@@ -16,16 +16,16 @@
 
 
 class PlatformError(CactuswalkError):
-    """The root of this package's errors."""
+    """Base class of this package's errors."""
 
     code = "platform"
 
 
 class CallFailedError(PlatformError):
-    """A call got no usable answer; it may have taken effect all the same.
+    """A call got no usable response; it may have taken effect nevertheless.
 
-    :param sent: False only where it is certain that nothing was sent.
-    :param timed_out: no answer came within the time-out.
+    :param sent: False only if it is certain that nothing was sent.
+    :param timed_out: no response came before the timeout.
     """
 
     code = "platform_call_failed"
@@ -34,17 +34,17 @@
         super().__init__(
             message,
             "Check that the key-value service runs and can be reached from this"
-            " host; work goes on without it, changes wait.",
+            " host; running work continues without it, changes wait.",
         )
         self.sent = sent
         self.timed_out = timed_out
 
 
 class CallRefusedError(PlatformError):
-    """The service answered that it will not do this; it has not done it.
+    """The service refused a call, which has had no effect.
 
-    :param status: of HTTP.
-    :param reason: gRPC's code, 0 if there was none.
+    :param status: HTTP status.
+    :param reason: gRPC status code, 0 if there was none.
     """
 
     code = "platform_call_refused"
@@ -59,36 +59,36 @@
 
 
 class UnavailableError(PlatformError):
-    """The service gave no answer for as long as the caller could wait."""
+    """The service was not available before the caller's deadline."""
 
     code = "platform_unavailable"
 
 
 class RevisionWentBackError(PlatformError):
-    """The service answered from an older state than it has shown before."""
+    """The service returned a lower revision than it has returned before."""
 
     code = "platform_revision_went_back"
 
 
 class ValueTooLargeError(PlatformError):
-    """A value is larger than the service holds."""
+    """A value is larger than the service's limit."""
 
     code = "platform_value_too_large"
 
 
 class WriteIdMissingError(PlatformError):
-    """A value lacks the write id that names its write."""
+    """A value does not contain the id of its write."""
 
     code = "platform_write_id_missing"
 
 
 class HistoryCompactedError(PlatformError):
-    """The service has dropped the history that was asked for."""
+    """The service has compacted the requested history."""
 
     code = "platform_history_compacted"
 
 
 class LeaseLapsedError(PlatformError):
-    """The lease has ended; whatever it stood for may be another's by now."""
+    """The lease has ended; another process may hold what it protected."""
 
     code = "platform_lease_lapsed"
--- a/src/cactuswalk/platform/heartbeats.py
+++ b/src/cactuswalk/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats, as they send them to the agent on their host."""
+"""Decoder for the heartbeats that a worker sends to the agent on its host."""
 
 import msgspec
 
@@ -14,13 +14,13 @@
 
 
 class MalformedHeartbeatError(PlatformError):
-    """A heartbeat that names no worker to use."""
+    """A heartbeat that does not describe a usable worker."""
 
     code = "malformed_heartbeat"
 
 
 class CapacityBody(msgspec.Struct):
-    """A worker's size on the wire; ``cpu`` in thousandths of a core."""
+    """A worker's capacity on the wire; ``cpu`` in thousandths of a core."""
 
     cpu: int
     mem_mb: int
@@ -28,7 +28,7 @@
 
 
 class HeartbeatBody(msgspec.Struct):
-    """A heartbeat on the wire; ``remaining_ms`` only while it drains."""
+    """A heartbeat on the wire; ``remaining_ms`` is set only while draining."""
 
     service: str
     zone: str
@@ -43,28 +43,29 @@
 
 
 def read_heartbeat(identifier: str, body: bytes, service: str) -> Worker:
-    """Return the worker that a heartbeat speaks of.
+    """Return the worker that a heartbeat describes.
 
-    :param service: the one that the settings say the worker beside this process
-        belongs to; another one's heartbeat is another writer's.
-    :raises MalformedHeartbeatError: if it names no worker to use.
+    :param service: that the worker on this host belongs to according to the
+        settings, empty for any; a heartbeat of another service comes from another
+        program.
+    :raises MalformedHeartbeatError: if it does not describe a usable worker.
     """
     try:
         heartbeat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise MalformedHeartbeatError(
-            f"the heartbeat of {identifier!r} can't be read: {error}",
-            "Look for another program that writes to this address.",
+            f"the heartbeat of {identifier!r} can't be decoded: {error}",
+            "Check whether another program sends to this address.",
         ) from error
     if heartbeat.state not in (READY, DRAINING) or not identifier:
         raise MalformedHeartbeatError(
             f"the heartbeat of {identifier!r} has the state {heartbeat.state!r}",
-            f"A worker is {READY} or {DRAINING}.",
+            f"The state of a worker is {READY} or {DRAINING}.",
         )
     if service and heartbeat.service != service:
         raise MalformedHeartbeatError(
             f"the heartbeat of {identifier!r} names the service {heartbeat.service!r}",
-            f"The worker on this host belongs to {service!r}.",
+            f"By the settings the worker on this host belongs to {service!r}.",
         )
     return Worker(
         identifier,
--- a/src/cactuswalk/platform/jobs.py
+++ b/src/cactuswalk/platform/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs, as the platform's callers write them."""
+"""Decoder and checks for the jobs that callers submit."""
 
 import re
 
@@ -11,18 +11,18 @@
 
 JOB_IDENTIFIER = re.compile(r"[0-9a-fA-F]{16}")
 MAX_SPEC_BYTES = 4_000
-# A bound of this product's own: one job must not fill an entry's memory.
+# Not a limit of the platform: keeps one job from filling an entry's memory.
 MAX_TASKS = 10_000
 
 
 class MalformedJobError(CactuswalkError):
-    """The body is no job; nothing of it has run."""
+    """The body is not a valid job; none of its tasks has run."""
 
     code = "malformed_job"
 
 
 class UnsupportedJobError(CactuswalkError):
-    """The job asks for what this product can't do yet; nothing of it has run."""
+    """The job needs an unsupported feature; none of its tasks has run."""
 
     code = "unsupported_job"
 
@@ -30,8 +30,8 @@
 class StepBody(msgspec.Struct):
     """A step on the wire.
 
-    ``requirements`` is one label, ``affinity`` one rack, and ``anti_affinity`` a
-    number of tasks a worker.
+    Three names mislead: ``requirements`` is a single label, ``affinity`` is a rack,
+    and ``anti_affinity`` is the maximum number of tasks on one worker.
     """
 
     count: int = 0
@@ -53,7 +53,8 @@
 class JobBody(msgspec.Struct):
     """A job on the wire.
 
-    ``best_effort`` means that its answer is its end, and that it isn't stored.
+    ``best_effort`` means that the response is sent at the job's end and that the
+    job is not stored.
     """
 
     spec: str = ""
@@ -67,21 +68,21 @@
 
 
 def is_job_identifier(text: str) -> bool:
-    """Return whether a text can name a job."""
+    """Return whether a text is a valid job identifier."""
     return JOB_IDENTIFIER.fullmatch(text) is not None
 
 
 def read_job(identifier: str, body: bytes) -> JobRequest:
-    """Return the job in a body.
+    """Return the job in a request body.
 
-    :raises MalformedJobError: if there is none.
-    :raises UnsupportedJobError: if it can't be done.
+    :raises MalformedJobError: if the body is not a valid job.
+    :raises UnsupportedJobError: if the job needs an unsupported feature.
     """
     try:
         job = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise MalformedJobError(
-            f"the body is no job: {error}", "Send a job as the platform's pages say."
+            f"the body is not a job: {error}", "Send a job as the platform's pages say."
         ) from error
     _validate_job(job)
     steps = tuple(_read_step(step) for step in job.steps)
@@ -90,7 +91,7 @@
 
 def _validate_job(job: JobBody) -> None:
     if len(job.spec.encode()) > MAX_SPEC_BYTES:
-        _raise_malformed("spec", f"has over {MAX_SPEC_BYTES} bytes", "Shorten it.")
+        _raise_malformed("spec", f"is over {MAX_SPEC_BYTES} bytes", "Shorten it.")
     if not job.steps:
         _raise_malformed("steps", "is empty", "Give at least one step.")
     if sum(max(0, step.count) for step in job.steps) > MAX_TASKS:
@@ -99,12 +100,12 @@
         _validate_step(number, step)
     if not job.best_effort:
         raise UnsupportedJobError(
-            "jobs that have to be kept are not supported yet",
+            "stored jobs are not supported yet",
             "Send the job with best_effort, or to another dispatcher.",
         )
     if job.long_running or job.repeat_count:
         raise UnsupportedJobError(
-            "tasks that last and repeated jobs are not supported yet",
+            "long-running tasks and repeated jobs are not supported yet",
             "Send the job to another dispatcher.",
         )
 
@@ -116,16 +117,16 @@
             f"{step_path}.count", "is below 1", "Give the number of tasks."
         )
     if min(step.cpu, step.mem_mb, step.gpu, step.anti_affinity) < 0:
-        _raise_malformed(
-            step_path, "asks for a negative size", "Give sizes of 0 or more."
-        )
+        _raise_malformed(step_path, "has a negative size", "Give sizes of 0 or more.")
     if any(not 0 <= earlier < number for earlier in step.after):
         _raise_malformed(
-            f"{step_path}.after", "names no earlier step", "Name earlier steps."
+            f"{step_path}.after",
+            "refers to a step that is not an earlier one",
+            "Name earlier steps.",
         )
     if step.gang or step.same_rack or step.utilization:
         raise UnsupportedJobError(
-            f"{step_path}: tasks that have to run together are not supported yet",
+            f"{step_path}: gang, same_rack and utilization are not supported yet",
             "Send the job to another dispatcher.",
         )
 
--- a/src/cactuswalk/platform/keyvalue.py
+++ b/src/cactuswalk/platform/keyvalue.py
@@ -1,6 +1,6 @@
-"""The platform's key-value service behind one narrow interface.
+"""Client for the platform's key-value service.
 
-Use it like this, inside the loop::
+Use it inside an event loop::
 
     store = open_store(["http://10.0.0.5:2379"], "entry-1", ENTRY_RATE, ENTRY_BURST)
     held = await store.read("cell/north")
@@ -62,16 +62,18 @@
     generator: random.Random | None = None,
     count: collections.abc.Callable[[str], None] = lambda name: None,
 ) -> KeyValueStore:
-    """Return a store that speaks HTTP; nothing is sent until it is used.
+    """Return a store client over HTTP; nothing is sent until it is used.
 
-    :param endpoints: base addresses, ``http://ip:port``; the next one is used
-        when one fails.
-    :param client_name: of this process, for the service's own counts.
-    :param rate: tokens a second, see ``decisions.callbudget``.
-    :param burst: tokens that may be saved up.
-    :param timeout: seconds for one call while the service is well.
-    :param generator: source of the jitter; must differ from process to process.
-    :param count: takes the name of a counter to add one to.
+    :param endpoints: base addresses, ``http://ip:port``; when one fails, the next
+        one is used.
+    :param client_name: of this process, for the service's call statistics.
+    :param rate: tokens per second, see ``decisions.callbudget``.
+    :param burst: maximum number of saved tokens.
+    :param prefix: prepended to every key, so that two fleets can share a service.
+    :param token: authorization token, empty for none.
+    :param timeout: seconds for one call while the service is healthy.
+    :param generator: source of the jitter; must differ between processes.
+    :param count: called with the name of a counter to increment.
     """
     return KeyValueStore(
         HttpConnection(endpoints, client_name, token),
--- a/src/cactuswalk/platform/leases.py
+++ b/src/cactuswalk/platform/leases.py
@@ -13,18 +13,18 @@
 
 __all__ = ["Lease", "Leases"]
 
-# gRPC's FAILED_PRECONDITION, which etcd answers for an identifier in use.
+# gRPC status that etcd returns for a lease identifier that is in use.
 FAILED_PRECONDITION = 9
 
-# Identifiers are drawn from 62 bits: positive as an int64, and no two of a
-# fleet's leases meet by accident.
+# Random identifiers of 62 bits are positive as an int64, and collisions between
+# the leases of a fleet are negligible.
 LEASE_ID_BITS = 62
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """A lease as its holder may count on it.
+    """A lease, as far as its holder may rely on it.
 
-    :param expires: by the holder's own clock; from then on it has nothing.
+    :param expires_at: on the holder's clock; from then on the lease is void.
     """
 
     identifier: int
@@ -33,11 +33,11 @@
 
 
 class Leases:
-    """Grant and renew leases, counted on the safe side.
+    """Grants and renews leases.
 
-    A lease runs from before the call that renewed it was sent. Counted from the
-    reply, a holder with a slow reply would believe in a lease that the service
-    has already ended and given to another.
+    A lease is counted from before the call that granted or renewed it was sent.
+    Counted from the reply, a slow reply would make the holder rely on a lease that
+    the service has already ended and granted to another process.
     """
 
     def __init__(self, store: "KeyValueStore") -> None:
@@ -47,7 +47,7 @@
         """Grant a new lease.
 
         :raises UnavailableError: if there was no answer in time; a lease that
-            was granted all the same ends by itself.
+            was granted nevertheless expires by itself.
         """
         identifier = self.store.generator.getrandbits(LEASE_ID_BITS) | 1
         request = protocol.encode_grant_request(identifier, ttl_seconds)
@@ -59,22 +59,22 @@
         except CallRefusedError as error:
             if error.reason != FAILED_PRECONDITION:
                 raise
-            # An earlier copy of this call was carried out and its reply lost.
+            # An earlier try of this call was executed and its reply was lost.
             return Lease(identifier, ttl_seconds, sent + ttl_seconds)
         return Lease(identifier, reply.ttl, sent + reply.ttl)
 
     async def keep_alive(self, lease: Lease) -> Lease:
         """Renew a lease.
 
-        :raises LeaseLapsedError: if the service says that it has ended, or the
-            holder's own clock does.
+        :raises LeaseLapsedError: if it has ended according to the service or to
+            the holder's clock.
         :raises UnavailableError: if there was no answer in time; the lease
-            stands until it expires.
+            stays valid until it expires.
         """
         sent = self.store.clock()
         if sent >= lease.expires_at:
-            # The service may still know it, but whoever stopped believing in it
-            # must not start again without looking at what has changed since.
+            # The service may still hold the lease, but the holder has treated it
+            # as ended and must first read what has changed since.
             raise self._lapsed_error(lease)
         request = protocol.encode_keep_alive_request(lease.identifier)
         reply = await self.store.call_with_retries(
@@ -88,5 +88,5 @@
         self.store.count("platform.lease.lapsed")
         return LeaseLapsedError(
             f"lease {lease.identifier} has ended",
-            "Ask for a new one and read again what it protected.",
+            "Grant a new lease and read again what it protected.",
         )
--- a/src/cactuswalk/platform/metadata.py
+++ b/src/cactuswalk/platform/metadata.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's metadata store, one try each."""
+"""Client for the platform's metadata store; it doesn't retry."""
 
 import asyncio
 import base64
@@ -17,14 +17,14 @@
 
 MAX_CONNECTIONS = 4
 
-# An answer takes 4 ms; a store that is sixty times slower is still heard.
+# A response takes 4 ms; the timeout tolerates a store that is 60 times slower.
 CALL_TIMEOUT_SECONDS = 1.0
-# Past the time that a watch may wait, its answer has to travel.
+# Added to the wait of a watch, since its response has to travel too.
 WATCH_SLACK_SECONDS = 1.0
 
 
 class Item(msgspec.Struct):
-    """A key of the store; ``revision`` is of its last change."""
+    """A key and its value; ``revision`` is that of its last change."""
 
     key: str
     value: bytes
@@ -32,7 +32,7 @@
 
 
 class ItemChange(msgspec.Struct):
-    """A key's change; ``value`` is None for a key that is gone."""
+    """A change of a key; ``value`` is None for a removed key."""
 
     key: str
     value: bytes | None
@@ -40,7 +40,7 @@
 
 
 class Watched(msgspec.Struct):
-    """What a watch has brought: all changes up to ``revision``."""
+    """The result of a watch: all changes up to ``revision``."""
 
     revision: int
     changes: list[ItemChange]
@@ -56,7 +56,10 @@
 
 
 class ReplyBody(msgspec.Struct):
-    """What the store's answers hold; ``as_of`` is the store's own revision."""
+    """The fields of all the store's responses.
+
+    ``as_of`` is the revision of the store, ``revision`` that of a key's last change.
+    """
 
     as_of: int = 0
     revision: int = 0
@@ -73,10 +76,10 @@
 
 
 class MetadataStore:
-    """The connections of one process to the store.
+    """Client with the connections of one process to the store.
 
-    Each call raises ``CallFailedError`` if it had no usable answer (it may then
-    have taken effect) and ``CallRefusedError`` if the store refused it.
+    Each method raises ``CallFailedError`` if it got no usable response (the call may
+    have taken effect) and ``CallRefusedError`` if the store refused the call.
 
     :param address: ``ip:port``.
     """
@@ -86,7 +89,7 @@
         self.session: aiohttp.ClientSession | None = None
 
     async def read(self, key: str) -> tuple[int, Item | None]:
-        """Return the store's revision, and a key if it exists."""
+        """Return the store's revision, and the key's item or None."""
         status, reply = await self._call("GET", "/v1/kv-key", {"key": key})
         if status == 404:
             return reply.as_of, None
@@ -95,9 +98,10 @@
     async def list(
         self, prefix: str, allow_stale: bool = False
     ) -> tuple[int, list[Item]]:
-        """Return the store's revision, and all keys that begin with a prefix.
+        """Return the store's revision, and all items whose key has a prefix.
 
-        :param stale: take an answer that may be seconds old, at a tenth.
+        :param allow_stale: accept data that may be seconds old, at a tenth of the
+            call's cost.
         """
         items: list[Item] = []
         query = {"path_prefix": prefix}
@@ -106,8 +110,8 @@
         revision = 0
         while True:
             _, reply = await self._call("GET", "/v1/kv-range", query)
-            # Pages are no snapshot: changes between them come with a watch that
-            # begins at the first page's revision.
+            # The pages are no consistent snapshot. A watch from the revision of the
+            # first page delivers the changes made between them.
             revision = revision or reply.as_of
             items.extend(
                 Item(item.key, _decode_value(item.value), item.revision)
@@ -118,9 +122,9 @@
             query["after"] = reply.items[-1].key
 
     async def watch(self, prefix: str, after: int, wait_seconds: float) -> Watched:
-        """Return the changes after a revision, or none if the wait passes.
+        """Wait for changes after a revision; return none when the wait is over.
 
-        :raises HistoryCompactedError: if the store has dropped some of them.
+        :raises HistoryCompactedError: if the store has compacted some of them.
         """
         query = {
             "path_prefix": prefix,
@@ -133,7 +137,7 @@
         )
         if status == 410:
             raise HistoryCompactedError(
-                f"the changes of {prefix!r} after {after} are gone",
+                f"the changes of {prefix!r} after revision {after} were compacted",
                 "Read the keys again.",
             )
         changes = [
@@ -147,9 +151,9 @@
         return Watched(max(reply.as_of, after), changes)
 
     async def put(self, key: str, value: bytes, lease: int) -> None:
-        """Write a key whatever it holds.
+        """Write a key unconditionally, under a lease.
 
-        :raises LeaseLapsedError: if there is no such lease.
+        :raises LeaseLapsedError: if the lease has ended.
         """
         put = {"key": key, "value": base64.b64encode(value).decode(), "lease": lease}
         body = {"expected_revision": [], "puts": [put], "remove": []}
@@ -158,7 +162,7 @@
             raise _lapsed_error(lease)
 
     async def grant(self, seconds: float) -> int:
-        """Grant a lease, and return its number."""
+        """Grant a lease and return its identifier."""
         body = {"ttl_ms": int(seconds * 1000)}
         _, reply = await self._call("POST", "/v1/kv-lease", body=body)
         return reply.lease
@@ -173,7 +177,7 @@
             raise _lapsed_error(lease)
 
     async def revoke(self, lease: int) -> None:
-        """End a lease; its keys go with it."""
+        """Revoke a lease, which removes its keys."""
         await self._call("DELETE", f"/v1/kv-lease-end/{lease}")
 
     async def close(self) -> None:
@@ -211,18 +215,21 @@
         return response.status, _decode_reply(path, response.status, text)
 
 
-# Answers that say something about the key, the lease or the history asked for.
+# Statuses with a meaning for the caller: 404 and 410 are about the key, the lease or
+# the history that was asked for, 412 is a failed comparison.
 EXPECTED_STATUSES = frozenset({200, 404, 410, 412})
 
 
 def _decode_reply(path: str, status: int, text: bytes) -> ReplyBody:
     if status not in EXPECTED_STATUSES:
-        # 429 and 503 promise that nothing was done; others are not foreseen.
-        raise CallRefusedError(f"{path} ended in {status}", status, 0)
+        # With 429 and 503 the call was certainly not executed; others are unexpected.
+        raise CallRefusedError(f"{path} returned HTTP status {status}", status, 0)
     try:
         return _decoder.decode(text) if text else ReplyBody()
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise CallFailedError(f"{path}: no JSON of the store", sent=True) from error
+        raise CallFailedError(
+            f"{path}: the response can't be decoded", sent=True
+        ) from error
 
 
 def _decode_value(value: str) -> bytes:
@@ -230,4 +237,4 @@
 
 
 def _lapsed_error(lease: int) -> LeaseLapsedError:
-    return LeaseLapsedError(f"the lease {lease} has ended", "Grant another one.")
+    return LeaseLapsedError(f"lease {lease} has ended", "Grant a new lease.")
--- a/src/cactuswalk/platform/names.py
+++ b/src/cactuswalk/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names for what this product calls otherwise."""
+"""The platform's names on the wire, and conversions to the project's terms."""
 
 from cactuswalk.dispatch.job import TaskKey
 
@@ -11,36 +11,36 @@
     "format_task_name",
 ]
 
-# Names the file with a process's settings.
+# The environment variable with the path of a process's settings file.
 SETTINGS_VARIABLE = "CACTUSWALK_BOOT"
 
-# Where the operator's newest configuration lies in the store.
+# The key of the operator's current configuration in the store.
 CONFIGURATION_KEY = "op/config"
 
-# All that the operator writes lies below it.
+# The prefix of all keys that the operator writes.
 OPERATORS_PREFIX = "op/"
 
-# Followed by a data centre's name: it is evacuated for as long as the key is there.
+# Followed by a data centre's name, which is evacuated while the key exists.
 EVACUATION_PREFIX = "op/evacuate/"
 
-# The second part of a task's name numbers a job's repetitions; without any, 0.
+# The second part of a task's name is the repetition of its job, 0 without any.
 FIRST_REPETITION = "0"
 
 
 def parse_evacuated_data_centre(key: str) -> str | None:
-    """Return the data centre that a key asks to evacuate, or None if it doesn't."""
+    """Return the data centre that a key evacuates, or None for another key."""
     if not key.startswith(EVACUATION_PREFIX):
         return None
     return key.removeprefix(EVACUATION_PREFIX) or None
 
 
 def format_task_name(key: TaskKey) -> str:
-    """Return a task's name as workers know it."""
+    """Return a task's name on the wire."""
     return f"{key.job}.{FIRST_REPETITION}.{key.step}.{key.index}"
 
 
 def parse_task_name(name: str) -> TaskKey | None:
-    """Return the task of a name, or None if it isn't of this product's making."""
+    """Return the task with a name, or None if this product made no such name."""
     parts = name.split(".")
     if len(parts) != 4 or parts[1] != FIRST_REPETITION:
         return None
--- a/src/cactuswalk/platform/protocol.py
+++ b/src/cactuswalk/platform/protocol.py
@@ -1,7 +1,7 @@
-"""Requests and replies of etcd v3's JSON gateway, typed.
+"""Typed requests and replies of etcd v3's JSON gateway.
 
-Bytes travel as base64, 64-bit integers as strings, and a reply leaves out what
-is at its default, as the gateway's published mapping of protobuf says.
+By the gateway's published mapping of protobuf, bytes are base64, 64-bit integers
+are strings, and a reply leaves out fields that have their default value.
 """
 
 import typing
@@ -38,7 +38,7 @@
 
 Kind = typing.TypeVar("Kind")
 
-# The brief: the platform's service holds values up to a megabyte.
+# By the specification the platform's service stores values up to a megabyte.
 MAX_VALUE_BYTES = 1 << 20
 
 RANGE_PATH = "/v3/kv/range"
@@ -49,13 +49,13 @@
 
 
 class Header(msgspec.Struct):
-    """The part of every reply that tells the store's revision."""
+    """The part of every reply that holds the store's revision."""
 
     revision: int = 0
 
 
 class KeyValue(msgspec.Struct):
-    """A key as it stands, or stood when a change was made."""
+    """A key and its value, at present or after a past change."""
 
     key: bytes
     value: bytes = b""
@@ -63,7 +63,7 @@
 
 
 class Reply(msgspec.Struct):
-    """A reply of which only the header matters."""
+    """Base of the replies with a header."""
 
     header: Header = msgspec.field(default_factory=Header)
 
@@ -75,20 +75,20 @@
 
 
 class TransactionPart(msgspec.Struct):
-    """The answer to one operation of a transaction."""
+    """The reply to one operation of a transaction."""
 
     response_range: RangeReply | None = None
 
 
 class TransactionReply(Reply):
-    """Whether a transaction's comparison held, and what it did then."""
+    """Whether a transaction's comparison held, and the replies to its operations."""
 
     succeeded: bool = False
     responses: list[TransactionPart] = []
 
     @property
     def current(self) -> KeyValue | None:
-        """Return the key as the failed comparison found it, None for no key."""
+        """Return the key that the failed comparison found, None for no key."""
         for part in self.responses:
             if part.response_range is not None and part.response_range.kvs:
                 return part.response_range.kvs[0]
@@ -96,20 +96,20 @@
 
 
 class LeaseReply(Reply):
-    """A granted or renewed lease; a time to live of 0 says that it is gone."""
+    """A granted or renewed lease; a time to live of 0 means that it has ended."""
 
     identifier: int = msgspec.field(name="ID", default=0)
     ttl: int = msgspec.field(name="TTL", default=0)
 
 
 class KeepAliveReply(msgspec.Struct):
-    """The first message of the stream that answers a renewal."""
+    """The first message of the stream that replies to a renewal."""
 
     result: LeaseReply
 
     @property
     def header(self) -> Header:
-        """Return the header, which this reply carries further in."""
+        """Return the header, which this reply nests in its result."""
         return self.result.header
 
 
@@ -121,7 +121,7 @@
 
 
 class WatchResult(Reply):
-    """One message of a watch; without events it tells of progress."""
+    """One message of a watch; without events it reports progress only."""
 
     created: bool = False
     canceled: bool = False
@@ -130,13 +130,13 @@
 
 
 class WatchReply(msgspec.Struct):
-    """The envelope of a watch's message; without ``result`` it is an error."""
+    """The envelope of a watch message; without ``result`` it is an error."""
 
     result: WatchResult | None = None
 
 
 class ErrorReply(msgspec.Struct):
-    """A refusal: gRPC's code and a sentence."""
+    """An error: gRPC status code and message."""
 
     code: int = 0
     message: str = ""
@@ -145,18 +145,18 @@
 def decode(data: bytes, kind: type[Kind]) -> Kind:
     """Decode a reply.
 
-    :raises CallFailedError: if it was cut short or is no such reply. The call
-        itself may have taken effect, so this is no refusal.
+    :raises CallFailedError: if it is truncated or malformed. The call may have
+        taken effect, so this does not count as a refusal.
     """
     try:
         return msgspec.json.decode(data, type=kind, strict=False)
     except msgspec.MsgspecError as error:
-        text = f"the key-value service sent no {kind.__name__}: {error}"
+        text = f"the key-value service sent a malformed {kind.__name__}: {error}"
         raise CallFailedError(text, sent=True) from error
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """Return the end of the range of all keys that begin with a prefix."""
+    """Return the exclusive end of the range of keys that begin with a prefix."""
     for index in range(len(prefix) - 1, -1, -1):
         if prefix[index] < 0xFF:
             return prefix[:index] + bytes([prefix[index] + 1])
@@ -164,12 +164,15 @@
 
 
 def encode_range_request(key: bytes, range_end: bytes = b"") -> bytes:
-    """Read a key, or a range of keys."""
+    """Encode a read of a key or of a range of keys."""
     return _encode({"key": key, "range_end": range_end})
 
 
 def encode_swap_request(key: bytes, expected: int, value: bytes) -> bytes:
-    """Write a key if its last change has the expected revision, else read it."""
+    """Encode a write of a key at an expected revision, which else reads the key.
+
+    :param expected: of the key's last change, 0 for a key that doesn't exist.
+    """
     compare = {
         "key": key,
         "target": "MOD",
@@ -186,17 +189,17 @@
 
 
 def encode_grant_request(identifier: int, ttl_seconds: int) -> bytes:
-    """Ask for a lease under an identifier of the caller's choice."""
+    """Encode a request for a lease with a given identifier."""
     return _encode({"ID": str(identifier), "TTL": str(ttl_seconds)})
 
 
 def encode_keep_alive_request(identifier: int) -> bytes:
-    """Renew a lease."""
+    """Encode the renewal of a lease."""
     return _encode({"ID": str(identifier)})
 
 
 def encode_watch_request(key: bytes, range_end: bytes, start_revision: int) -> bytes:
-    """Ask for all changes at a revision and later, as they come."""
+    """Encode a watch for the changes at a revision and later."""
     create = {
         "key": key,
         "range_end": range_end,
--- a/src/cactuswalk/platform/store.py
+++ b/src/cactuswalk/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service, as the runtime uses it."""
+"""Key-value store client: reads, compare-and-swap, lists, watches and leases."""
 
 import collections
 import collections.abc
@@ -32,23 +32,23 @@
 
 __all__ = ["KeyValueStore", "ListedKey"]
 
-# The service answers in milliseconds (brief); a hundred times that is no
-# longer its ordinary spread.
+# By the specification the service answers in milliseconds; a hundred times that is
+# beyond its normal variation.
 MIN_TIMEOUT_SECONDS = 1.0
 
-# How long one read or swap may go on trying. Longer than the longest time-out,
-# so that a service as slow as that is still heard.
+# How long a read or swap is retried. Exceeds the longest timeout, so that a service
+# that is nearly as slow can still answer.
 MAX_RETRY_SECONDS = 10.0
 
-# Swaps that ended without a verdict, remembered in case they are asked again.
-# A process makes few at a time; each takes about a hundred bytes.
+# Swaps in doubt that are remembered in case they are repeated. A process has few at
+# a time; each takes about 100 bytes.
 MAX_IN_DOUBT_SWAPS = 1024
 
 Kind = typing.TypeVar("Kind", bound=protocol.Reply | protocol.KeepAliveReply)
 
 
 class ListedKey(typing.NamedTuple):
-    """One key of a list."""
+    """One key of a listing."""
 
     key: str
     value: bytes
@@ -56,12 +56,14 @@
 
 
 class KeyValueStore:
-    """Reads, swaps, lists, watches and leases, each with a time-out and a budget.
+    """Client whose calls are limited by timeouts, a call budget and back-off.
 
-    :param prefix: put before every key, so that two fleets can share a service.
     :param clock: monotonic seconds.
     :param generator: source of the jitter.
-    :param count: takes the name of a counter to add one to.
+    :param count: called with the name of a counter to increment.
+    :param prefix: prepended to every key, so that two fleets can share a service.
+    :param timeout: seconds for one call while the service is healthy.
+    :param max_retry_seconds: how long a read or swap is retried.
     """
 
     def __init__(
@@ -83,18 +85,19 @@
         self.prefix = prefix
         self.max_retry_seconds = max_retry_seconds
         self.leases = Leases(self)
-        # The highest revision that the service has shown. A reply to a call
-        # sent afterwards that shows a lower one comes from an old copy.
+        # The highest revision that the service has returned. A lower one in the
+        # reply to a later call comes from an outdated copy of the data.
         self.revision = 0
-        # What last went wrong, for the operators; None once a call succeeds.
+        # The last error, for the operators; None once a call succeeds.
         self.last_error: PlatformError | None = None
-        # By write id, the revision above which an unsettled swap may be found.
+        # By write id, the revision after which a swap in doubt may have been applied.
         self.in_doubt: collections.OrderedDict[str, int] = collections.OrderedDict()
-        # The lowest of those revisions that had to be forgotten, if any.
+        # Set once a swap in doubt was evicted: the revision to search from for swaps
+        # that are not in ``in_doubt``.
         self.evicted_since: int | None = None
 
     async def read(self, key: str) -> KeyRead:
-        """Read a key; ``known`` is False if there was no answer in time."""
+        """Read a key; ``known`` is False if it could not be read in time."""
         request = protocol.encode_range_request(self._prefixed(key))
         try:
             reply = await self.call_with_retries(
@@ -126,13 +129,13 @@
     async def swap(
         self, key: str, expected: int, value: bytes, write_id: str
     ) -> KeySwapped:
-        """Write a key if its revision is the expected one (0: there is no key).
+        """Write a key if it has the expected revision (0: it doesn't exist).
 
         ``APPLIED`` and ``LOST`` are final. After ``UNKNOWN`` the write may yet
-        be applied: call again with the same arguments to settle it.
+        be applied: call again with the same arguments to resolve it.
 
-        :raises ValueTooLargeError: if the service can't hold the value.
-        :raises WriteIdMissingError: if the value doesn't name its write.
+        :raises ValueTooLargeError: if the value exceeds the service's limit.
+        :raises WriteIdMissingError: if the value doesn't contain the write id.
         """
         _check_value(key, value, write_id)
         verdict = await self._swap_until_certain(key, expected, value, write_id)
@@ -144,9 +147,9 @@
     async def resolve_swap(
         self, key: str, expected: int, value: bytes, write_id: str, since: int = 0
     ) -> KeySwapped:
-        """Ask again for a swap that another life of this process left unknown.
+        """Repeat a swap that an earlier run of this process left in doubt.
 
-        Within one life ``swap`` remembers by itself.
+        Swaps of the same run are resolved by calling ``swap`` again.
 
         :param since: a revision of the store from before the first try.
         """
@@ -156,12 +159,12 @@
     def watch(
         self, prefix: str, from_revision: int
     ) -> collections.abc.AsyncGenerator[Changes, None]:
-        """Yield the changes after a revision, for as long as it is read.
+        """Yield the changes after a revision, without end.
 
-        It goes on through cuts and outages. With 0, and where the service has
-        dropped the changes that are missing, it yields the whole list first.
-        No key's change is yielded after a later one of the same key, and no
-        ``Changes`` after one of a higher revision.
+        It reconnects after broken connections and outages. At revision 0, and
+        after the service has compacted changes that are missing, it yields a
+        snapshot of all keys first. The changes of a key are yielded in their
+        order, and the revisions of successive ``Changes`` never decrease.
         """
         return Watch(self, prefix, from_revision).changes()
 
@@ -180,7 +183,7 @@
     async def call_with_retries(
         self, path: str, body: bytes, kind: type[Kind], cost: float
     ) -> Kind:
-        """Make a call that can be repeated without harm until it is answered."""
+        """Make an idempotent call, and retry it until it is answered."""
         deadline = self.clock() + self.max_retry_seconds
         while True:
             try:
@@ -191,10 +194,10 @@
     async def call_once(
         self, path: str, body: bytes, kind: type[Kind], cost: float, deadline: float
     ) -> Kind:
-        """Make one call through the gate.
+        """Make one call with a permit of the limiter.
 
-        :raises UnavailableError: if it could not be made before the deadline.
-        :raises CallFailedError: if it was made and not answered.
+        :raises UnavailableError: if there was no permit before the deadline.
+        :raises CallFailedError: if the call got no usable answer.
         :raises CallRefusedError: if it was refused.
         """
         permit = await self.call_limiter.acquire(cost, deadline)
@@ -222,7 +225,7 @@
         return reply
 
     def record_failure(self, name: str, error: CallFailedError) -> None:
-        """Count a failed call and keep the error for the operators."""
+        """Count a failed call, and keep the error for the operators."""
         self.count(f"platform.failure.{name}")
         if error.timed_out:
             self.count("platform.timeout")
@@ -237,11 +240,13 @@
         return f"{self.prefix}{key}".encode()
 
     def check_revision(self, revision: int, known_revision: int) -> None:
-        """Refuse a reply from before what the service has already shown.
+        """Reject a reply that is older than an earlier one.
 
-        A restored backup or a member that was left behind would hand out a
-        state that operators have since replaced. The nodes would notice a
-        setting that reverts; here it is a call without an answer.
+        A service restored from a backup, or a member that lags behind, returns
+        values that operators have since replaced. Such a reply is treated as a
+        failed call, so that no setting reverts on the nodes.
+
+        :raises CallFailedError: if the revision is below the known one.
         """
         if revision < known_revision:
             self.count("platform.revision_went_back")
@@ -249,7 +254,7 @@
                 f"the key-value service is at revision {revision} and has"
                 f" been at {known_revision}",
                 "Check whether it was restored from a backup or reads from a"
-                " member that was left behind; see docs/operations/platform.md.",
+                " member that lags behind; see docs/operations/platform.md.",
             )
             raise CallFailedError(
                 self.last_error.message, sent=True
@@ -259,12 +264,12 @@
     async def _swap_until_certain(
         self, key: str, expected: int, value: bytes, write_id: str
     ) -> Verdict | None:
-        """Try a swap until its outcome is certain or patience ends."""
+        """Retry a swap until its outcome is final, or return None at the deadline."""
         has_unanswered_copy = (
             write_id in self.in_doubt or self.evicted_since is not None
         )
-        # Noted before anything is sent: if this task is cancelled half-way the
-        # next one with the same write id has to know that a copy is under way.
+        # Recorded before anything is sent: if this task is cancelled, the next
+        # one with the same write id must know that a copy may be in flight.
         since = self._track_in_doubt(write_id)
         body = protocol.encode_swap_request(self._prefixed(key), expected, value)
         deadline = self.clock() + self.max_retry_seconds
@@ -294,15 +299,16 @@
                 return None
 
     def _track_in_doubt(self, write_id: str) -> int:
-        """Return the revision above which a swap may be found applied."""
+        """Record a swap, and return the revision after which it may be applied."""
         known_revision = (
             self.revision if self.evicted_since is None else self.evicted_since
         )
         since = self.in_doubt.setdefault(write_id, known_revision)
         if len(self.in_doubt) > MAX_IN_DOUBT_SWAPS:
-            # Any swap may now be one that was forgotten, so each is looked for
-            # in the history. That costs a call where a race was lost; taking it
-            # for a new one would call a write lost that was applied.
+            # From now on any new swap may be a repetition of an evicted one, so
+            # all are treated as in doubt and searched for in the history. That
+            # costs a call for each lost race. Treating them as new could report
+            # an applied write as lost.
             _, dropped = self.in_doubt.popitem(last=False)
             self.evicted_since = min(dropped, known_revision)
             self.count("platform.swap.forgotten")
@@ -315,11 +321,11 @@
         start: int,
         deadline: float,
     ) -> Verdict | None:
-        """Look for a write in the changes of its key since it could be applied."""
+        """Search the key's changes from ``start`` on for a write."""
         current = reply.current
         if current is None:
-            # The key is gone: not this package's doing, which deletes nothing.
-            # What was applied before that can't be told from here.
+            # The key was deleted, by another program since this package deletes
+            # nothing. Whether the write was applied before is unknown.
             return None
         verdict = classify_history([], current, write_id, start)
         if verdict is not None:
@@ -340,13 +346,13 @@
 def _check_value(key: str, value: bytes, write_id: str) -> None:
     if len(value) > protocol.MAX_VALUE_BYTES:
         raise ValueTooLargeError(
-            f"{key}: the value has {len(value)} bytes, the service holds"
+            f"{key}: the value has {len(value)} bytes, the service's limit is"
             f" {protocol.MAX_VALUE_BYTES}",
             "Split the object into several smaller ones.",
         )
     if not contains_write_id(value, write_id):
         raise WriteIdMissingError(
-            f"{key}: the value doesn't hold the write id {write_id}",
+            f"{key}: the value doesn't contain the write id {write_id}",
             "Encode the write id as a string in the value, in JSON or"
-            " MessagePack; without it a lost reply can't be settled.",
+            " MessagePack; without it a swap in doubt can't be resolved.",
         )
--- a/src/cactuswalk/platform/swapoutcome.py
+++ b/src/cactuswalk/platform/swapoutcome.py
@@ -1,17 +1,16 @@
-"""Tell what became of a swap, from what the service says afterwards.
-
-A swap whose reply was lost may have been applied, may not have been, and may
-yet be: the request can sit in a queue and land seconds after its caller gave
-up. What decides:
-
-- The same swap sent again does no harm, since it expects the same revision: at
-  most one of the copies can find the key there.
-- A key whose revision has moved past the expected one never comes back to it,
-  so no copy that is still under way can be applied any more. Only then can the
-  verdict be final.
-- The write id in the key's value proves that it was applied. Its absence
-  proves nothing, since another writer may have replaced it: then the first
-  change after the expected revision tells.
+"""Determine the outcome of a swap from the service's later replies.
+
+A swap (a compare-and-swap of a key) whose reply was lost is in doubt: it may have
+been applied, or not, or may yet be applied, since a delayed request can arrive
+seconds after its caller gave up. These rules resolve it:
+
+- Sending the same swap again is safe. All copies expect the same revision, so at
+  most one of them is applied.
+- A key whose revision has moved past the expected one never returns to it, so no
+  delayed copy can be applied any more. Only then is an outcome final.
+- The write id in the key's value proves that the swap was applied. Its absence
+  proves nothing, since another writer may have replaced the value. In that case
+  the first change after the expected revision decides.
 """
 
 import msgspec
@@ -23,17 +22,17 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What became of a swap, and the key's revision then."""
+    """The outcome of a swap, and the key's revision after it."""
 
     outcome: SwapOutcome
     revision: int
 
 
 def contains_write_id(value: bytes, write_id: str) -> bool:
-    """Say whether a value names a write.
+    """Return whether a value contains a write id.
 
-    The id is looked for as an encoded string, in JSON and in MessagePack: by
-    its bare characters ``node-1`` would be found in ``node-12``.
+    The id is searched for as an encoded string, in JSON and in MessagePack: a
+    search for the bare characters would find ``node-1`` in ``node-12``.
     """
     return any(
         encode(write_id) in value
@@ -44,9 +43,9 @@
 def classify_reply(
     reply: TransactionReply, write_id: str, has_unanswered_copy: bool
 ) -> Verdict | None:
-    """Return the verdict that a transaction's reply allows, if it is final.
+    """Return the final outcome that a transaction's reply proves, else None.
 
-    :param doubtful: an earlier copy was sent and never answered.
+    :param has_unanswered_copy: an earlier copy was sent and never answered.
     """
     if reply.succeeded:
         return Verdict(SwapOutcome.APPLIED, reply.header.revision)
@@ -54,7 +53,7 @@
     if current is not None and contains_write_id(current.value, write_id):
         return Verdict(SwapOutcome.APPLIED, current.mod_revision)
     if not has_unanswered_copy:
-        # The only copy was answered: it found another revision.
+        # The only copy was answered, and it found another revision.
         return Verdict(SwapOutcome.LOST, current.mod_revision if current else 0)
     return None
 
@@ -62,12 +61,12 @@
 def classify_history(
     events: list[WatchEvent], current: KeyValue, write_id: str, start: int
 ) -> Verdict | None:
-    """Return the verdict of a key's changes, None while some are missing.
+    """Return the outcome that a key's history proves, None while it is incomplete.
 
-    :param events: of the key at ``start`` and later, in order, without a gap.
-    :param current: the key when the swap's comparison failed; once the history
-        has reached it without the write id, no other change is left to look at.
-    :param start: the first revision at which the swap could be applied.
+    :param events: of the key from ``start`` on, in order and without a gap.
+    :param current: the key when the swap's comparison failed; if the history up to
+        it does not contain the write id, the swap was not applied.
+    :param start: the first revision at which the swap could have been applied.
     """
     for event in events:
         if contains_write_id(event.kv.value, write_id):
--- a/src/cactuswalk/platform/watch.py
+++ b/src/cactuswalk/platform/watch.py
@@ -1,4 +1,4 @@
-"""Follow changes of the key-value service through cuts, outages and compaction."""
+"""Watches of the key-value service that survive disconnects and compaction."""
 
 import asyncio
 import collections.abc
@@ -23,21 +23,21 @@
 
 __all__ = ["Change", "Changes", "Watch"]
 
-# A connection that a firewall has dropped without a word looks like a service
-# without changes. A watch that hears nothing for so long is opened again, which
-# costs a call; the few processes that watch make one each in this time.
+# A connection that a firewall has silently dropped looks like a service without
+# changes, so a watch that receives nothing for this long is reopened. That costs one
+# call, and only a few processes watch.
 MAX_SILENCE_SECONDS = 15.0
 
-# One message of a watch holds the changes of one moment. Past this the node
-# would spend its memory on catching up; it lists instead.
+# A message holds the changes that were made at one time. The node would need too much
+# memory for a larger one, and lists the keys instead.
 MAX_MESSAGE_BYTES = 8 << 20
 
-# Between two tries of a watch that the service refuses, by a wrong token say.
+# Between two tries of a watch that the service refuses, such as for a wrong token.
 REFUSED_RETRY_SECONDS = 5.0
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One key's change; ``value`` is None for a key that is gone."""
+    """A change of a key; ``value`` is None for a deleted key."""
 
     key: str
     value: bytes | None
@@ -45,10 +45,10 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a watch has brought.
+    """Changes delivered by a watch.
 
-    :param revision: all changes up to it have now been yielded.
-    :param whole: this is the complete list: a key that isn't in it is gone.
+    :param revision: all changes up to it have been yielded.
+    :param is_snapshot: ``changes`` are all keys; any other key doesn't exist.
     """
 
     revision: int
@@ -57,7 +57,7 @@
 
 
 class Watch:
-    """One watch; ``revision`` is what has been yielded so far."""
+    """One watch; ``revision`` is that of the last change yielded."""
 
     def __init__(self, store: "KeyValueStore", prefix: str, from_revision: int) -> None:
         self.store = store
@@ -67,7 +67,7 @@
         self.opened_at = store.clock()
 
     async def changes(self) -> collections.abc.AsyncGenerator[Changes, None]:
-        """Yield changes for as long as they are read."""
+        """Yield changes without end, and reconnect after failures."""
         is_snapshot = self.revision == 0
         while True:
             try:
@@ -90,11 +90,11 @@
     async def messages(
         self, key: bytes, range_end: bytes, deadline: float
     ) -> collections.abc.AsyncGenerator[protocol.WatchResult, None]:
-        """Open one watch and yield its messages until it breaks.
+        """Open one watch, and yield its messages until the connection breaks.
 
-        :raises CallFailedError: when it breaks or the deadline has passed.
-        :raises UnavailableError: if it could not be opened by the deadline.
-        :raises HistoryCompactedError: if changes that are asked for are gone.
+        :raises CallFailedError: when the connection breaks or the deadline passes.
+        :raises UnavailableError: if it could not be opened before the deadline.
+        :raises HistoryCompactedError: if the service has compacted the changes.
         """
         permit = await self.store.call_limiter.acquire(READ_COST, deadline)
         self.store.count("platform.call.watch")
@@ -114,7 +114,7 @@
                     if result.canceled:
                         raise self._cancel_error(result)
                     yield result
-            raise CallFailedError("the service ended a watch", sent=True)
+            raise CallFailedError("the key-value service closed a watch", sent=True)
         except CallFailedError as error:
             self.store.record_failure("watch", error)
             if not opened:
@@ -124,10 +124,10 @@
             self.store.call_limiter.release(permit)
 
     async def _back_off(self) -> None:
-        """Wait after a break, longer if the watch has hardly lived.
+        """Wait after a broken watch, longer after each short-lived one.
 
-        A proxy that lets a watch open and cuts it at once looks like a service
-        in good health to the gate, and would be called without a pause.
+        A proxy that accepts a watch and closes it at once looks like a healthy
+        service to the limiter, and would be called again without a pause.
         """
         now = self.store.clock()
         if now - self.opened_at > MAX_WAIT_SECONDS:
@@ -136,14 +136,14 @@
         await asyncio.sleep(self.backoff.remaining(now))
 
     def _extract_changes(self, message: protocol.WatchResult) -> Changes | None:
-        """Return what is new in a message, and move on to its revision."""
+        """Return the new changes in a message, and advance the revision."""
         if message.created:
             return None
         if not message.events:
             self.revision = max(self.revision, message.header.revision)
             return None
-        # The header of a message with events may be ahead of them: the rest
-        # comes in the next message. Only the events' own revisions count.
+        # The header's revision may be ahead of the message's events, since more of
+        # them follow in the next message. Only the events' revisions count.
         unseen = [
             self._change(event)
             for event in message.events
@@ -167,7 +167,7 @@
     async def _list(self) -> Changes:
         revision, listed = await self.store.list(self.prefix)
         if revision < self.revision:
-            raise CallFailedError("a list is older than the watch", sent=True)
+            raise CallFailedError("the listed keys are older than the watch", sent=True)
         self.store.count("platform.watch.listed")
         self.revision = revision
         changes = [Change(*entry) for entry in listed]
@@ -179,7 +179,7 @@
         opening_timeout: float,
         deadline: float,
     ) -> collections.abc.AsyncGenerator[bytes, None]:
-        """Split what comes into messages, one a line."""
+        """Split the received chunks into messages, one on each line."""
         buffer = b""
         silence = opening_timeout
         while True:
@@ -188,7 +188,7 @@
                 async with asyncio.timeout(limit):
                     piece = await anext(pieces, None)
             except TimeoutError as error:
-                text = f"a watch heard nothing for {limit:.1f} s"
+                text = f"a watch received nothing for {limit:.1f} s"
                 raise CallFailedError(text, sent=True, timed_out=True) from error
             if piece is None:
                 return
@@ -198,19 +198,21 @@
                 yield line
             if len(buffer) > MAX_MESSAGE_BYTES:
                 self.store.count("platform.watch.too_large")
-                raise HistoryCompactedError("a watch's message is too large")
+                raise HistoryCompactedError("a watch message is too large")
 
     def _cancel_error(self, result: protocol.WatchResult) -> Exception:
         if result.compact_revision:
             self.store.count("platform.watch.compacted")
             return HistoryCompactedError(
-                f"changes up to {result.compact_revision} are gone"
+                f"changes up to revision {result.compact_revision} were compacted"
             )
-        return CallFailedError("the service cancelled a watch", sent=True)
+        return CallFailedError("the key-value service cancelled a watch", sent=True)
 
 
 def _decode_result(line: bytes) -> protocol.WatchResult:
     result = protocol.decode(line, protocol.WatchReply).result
     if result is None:
-        raise CallFailedError("the service sent an error to a watch", sent=True)
+        raise CallFailedError(
+            "the key-value service sent an error to a watch", sent=True
+        )
     return result
--- a/src/cactuswalk/platform/worker.py
+++ b/src/cactuswalk/platform/worker.py
@@ -1,4 +1,4 @@
-"""Calls of the worker on the same host."""
+"""Client for the worker on the same host."""
 
 import asyncio
 import collections.abc
@@ -28,13 +28,14 @@
 STOP_PATH = "/v1/run-stop"
 POLL_PATH = "/v1/hold"
 
-# A call for another life of the worker is refused.
+# Names the expected incarnation of the worker, which the platform calls an instance.
+# Another incarnation refuses the call with 421.
 INSTANCE_HEADER = "X-Expected-Instance"
 MISDIRECTED_REQUEST = 421
 
-# Starts side by side; one more connection is for looks. New ones are paid for.
+# For concurrent starts, and one more for polls. Opening a connection has a cost.
 MAX_CONNECTIONS = 6
-# The worker may close an idle connection; until then it is kept.
+# Idle connections are kept this long, unless the worker closes them earlier.
 KEEPALIVE_SECONDS = 300.0
 
 START_REFUSALS = {
@@ -44,13 +45,13 @@
     "room": StartVerdict.NO_ROOM,
 }
 
-# A gang's ends ("broken", "alone") count as lapsed: the run is over, not by its
-# own fault.
+# The platform's ends for gangs ("broken", "alone") are not listed and count as lapsed:
+# the run is over, but not by its own fault.
 RUN_ENDS = {"done": RunEnd.DONE, "failed": RunEnd.FAILED, "stopped": RunEnd.STOPPED}
 
 
 class Reply(msgspec.Struct):
-    """What the worker's answers hold; ``clock_ms`` is its steady clock."""
+    """The fields of all the worker's responses; ``clock_ms`` is its monotonic clock."""
 
     clock_ms: float | None = None
     reason: str = ""
@@ -62,9 +63,9 @@
 
 
 class WorkerCallError(Exception):
-    """A call had no usable answer.
+    """A call got no usable response.
 
-    :param refused: nobody listens at the address; nothing has been sent.
+    :param refused: the connection was refused, so nothing was sent.
     """
 
     def __init__(self, refused: bool) -> None:
@@ -73,10 +74,10 @@
 
 
 class WorkerClient:
-    """The connections to one worker's address.
+    """Client with the connections to one worker's address.
 
     :param address: ``ip:port``.
-    :param clock: the agent's, in seconds.
+    :param clock: the agent's clock, in seconds.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
             path: yarl.URL(f"http://{address}{path}")
             for path in (START_PATH, STOP_PATH, POLL_PATH)
         }
-        # By worker, its clock less the agent's, in milliseconds.
+        # By worker, its clock minus the agent's clock.
         self.clock_offsets_ms: dict[str, float] = {}
 
     async def start(self, effect: StartTask) -> AgentEvent:
@@ -114,7 +115,7 @@
         return StartAnswered(effect.worker, effect.handle, verdict)
 
     async def stop(self, effect: StopTask) -> AgentEvent:
-        """Stop a run, or forbid it."""
+        """Stop a run, or forbid its start."""
         body = {
             "task": format_task_name(effect.key),
             "run": effect.run,
@@ -129,7 +130,7 @@
         return StopAnswered(effect.worker, effect.handle, status == 200)
 
     async def poll(self, effect: PollWorker) -> AgentEvent:
-        """Renew the lease and list what runs and what has ended."""
+        """Renew the lease, and list the running and ended runs."""
         sent_at = self.clock()
         body = {
             "fencing_token": effect.token,
@@ -168,7 +169,7 @@
             self.session = None
 
     def _worker_deadline_ms(self, worker: str, seconds: float) -> int:
-        """Return when a lease ends on the worker's clock."""
+        """Return the end of a lease on the worker's clock, in milliseconds."""
         return int(
             self.clock() * 1000
             + self.clock_offsets_ms.get(worker, 0.0)
@@ -182,7 +183,7 @@
             connector = aiohttp.TCPConnector(
                 limit=MAX_CONNECTIONS, keepalive_timeout=KEEPALIVE_SECONDS
             )
-            # Neither cookies nor a time-out of its own: each costs time in every call.
+            # Without cookies and a session timeout, which cost time in every call.
             self.session = aiohttp.ClientSession(
                 connector=connector,
                 cookie_jar=aiohttp.DummyCookieJar(),
@@ -205,8 +206,8 @@
             raise WorkerCallError(False) from error
         reply = _decode_reply(data)
         if reply.clock_ms is not None and response.status != MISDIRECTED_REQUEST:
-            # The clock was read before the answer arrived, so that a lease
-            # reckoned from here ends early rather than late.
+            # The worker read its clock before its response arrived, so that a lease
+            # computed from this offset ends early rather than late.
             self.clock_offsets_ms[worker] = reply.clock_ms - self.clock() * 1000
         return response.status, reply
 
