--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -225,7 +225,7 @@
         if effect.lease_seconds and effect.worker == self.identifier:
             until = sent_at + min(effect.lease_seconds, MAXIMUM_LEASE_SECONDS)
             self.lease_until = max(self.lease_until, until)
-        self.ended = [row for row in self.ended if row.number > effect.noted]
+        self.ended = [row for row in self.ended if row.number > effect.acknowledged]
 
     def rows(self, now):
         running = [
@@ -603,5 +603,5 @@
 
 def make_poll_answered(effect, sent_at, running, ended):
     return PollAnswered(
-        effect.worker, sent_at, running, ended, effect.noted, effect.is_check
+        effect.worker, sent_at, running, ended, effect.acknowledged, effect.is_check
     )
--- a/src/cactuswalk/dispatch/agent.py
+++ b/src/cactuswalk/dispatch/agent.py
@@ -47,7 +47,7 @@
 )
 from cactuswalk.dispatch.bounds import (
     CALL_TIMEOUT_SECONDS,
-    PULSE_SECONDS,
+    KEEPALIVE_SECONDS,
     worker_lapse_seconds,
 )
 from cactuswalk.dispatch.effects import (
@@ -86,7 +86,7 @@
     close_if_idle(state, now)
     working = {held.entry for held in state.held.values()}
     for peer in state.entries.values():
-        pause = PULSE_SECONDS if peer.address in working else IDLE_REPORT_SECONDS
+        pause = KEEPALIVE_SECONDS if peer.address in working else IDLE_REPORT_SECONDS
         if now - peer.reported_at >= pause:
             peer.dirty = True
 
--- a/src/cactuswalk/dispatch/agententries.py
+++ b/src/cactuswalk/dispatch/agententries.py
@@ -17,7 +17,7 @@
 ]
 
 # An unacknowledged end is sent again after this time; acknowledgements come with the
-# entry's pulses, every 0.1 s.
+# entry's keepalives, every 0.1 s.
 END_RESEND_SECONDS = 0.25
 
 
@@ -25,25 +25,27 @@
     """Handle a message from an entry."""
     message = event.message
     if isinstance(message, Keepalive):
-        _handle_pulse(state, event.sender, message, now)
+        _handle_keepalive(state, event.sender, message, now)
     elif isinstance(message, Start):
         _handle_start(state, event.sender, message, now)
     elif isinstance(message, Stop):
         _handle_stop(state, event.sender, message, now)
 
 
-def _handle_pulse(state: AgentState, sender: str, pulse: Keepalive, now: float) -> None:
-    peer = _refresh_peer(state, sender, pulse.incarnation, now)
+def _handle_keepalive(
+    state: AgentState, sender: str, keepalive: Keepalive, now: float
+) -> None:
+    peer = _refresh_peer(state, sender, keepalive.incarnation, now)
     if peer is None:
         return
-    if pulse.agent_incarnation == state.incarnation:
-        peer.echoed_stamp = max(peer.echoed_stamp, pulse.stamp)
-    state.apply_evacuations(pulse.evacuations, sender)
-    peer.data_centre = pulse.data_centre
-    for sequence in pulse.acknowledged:
+    if keepalive.agent_incarnation == state.incarnation:
+        peer.echoed_stamp = max(peer.echoed_stamp, keepalive.stamp)
+    state.apply_evacuations(keepalive.evacuations, sender)
+    peer.data_centre = keepalive.data_centre
+    for sequence in keepalive.acknowledged:
         peer.pending_ends.pop(sequence, None)
         peer.end_sent_at.pop(sequence, None)
-    update_members(state, peer, pulse)
+    update_members(state, peer, keepalive)
 
 
 def _refresh_peer(
@@ -117,7 +119,7 @@
         return "the worker leaves too soon"
     if state.health.is_restricted and not state.can_try(now):
         return "the worker is on trial"
-    cpu, memory_mb, gpu = state.room()
+    cpu, memory_mb, gpu = state.free_resources()
     if start.cpu > cpu or start.memory_mb > memory_mb or start.gpu > gpu:
         return "no room"
     return ""
--- a/src/cactuswalk/dispatch/agentevents.py
+++ b/src/cactuswalk/dispatch/agentevents.py
@@ -117,8 +117,8 @@
 class PollAnswered(msgspec.Struct):
     """The worker answered a poll that was sent at ``sent_at``.
 
-    :param noted: highest number of the ends that the poll acknowledged, which the
-        worker may forget.
+    :param acknowledged: highest number of the ends that the poll acknowledged; the
+        worker may forget these.
     :param is_check: it was sent next to a waiting poll, and didn't wait.
     """
 
@@ -126,7 +126,7 @@
     sent_at: float
     running: list[RunningRow]
     ended: list[EndedRow]
-    noted: int = 0
+    acknowledged: int = 0
     is_check: bool = False
 
 
--- a/src/cactuswalk/dispatch/agentmembers.py
+++ b/src/cactuswalk/dispatch/agentmembers.py
@@ -9,7 +9,7 @@
 
 __all__ = ["handle_entries", "refresh_peers", "request_entries", "update_members"]
 
-# A home entry that has been silent for this long, three pulses, gets a substitute.
+# A home entry that has been silent for this long, three keepalives, gets a substitute.
 SILENT_SECONDS = 1.5
 
 # Other entries get no reports once they have been silent for this long. Longer than
@@ -25,12 +25,12 @@
 ENTRIES_READ_INTERVAL_SECONDS = 3.0
 
 
-def update_members(state: AgentState, peer: EntryPeer, pulse: Keepalive) -> None:
-    """Store the list of entries in a pulse, unless a newer one is known."""
-    if pulse.members is None or pulse.members_version < peer.members_version:
+def update_members(state: AgentState, peer: EntryPeer, keepalive: Keepalive) -> None:
+    """Store the list of entries in a keepalive, unless a newer one is known."""
+    if keepalive.members is None or keepalive.members_version < peer.members_version:
         return
-    peer.members = pulse.members
-    peer.members_version = pulse.members_version
+    peer.members = keepalive.members
+    peer.members_version = keepalive.members_version
     state.refresh_at = 0.0
 
 
--- a/src/cactuswalk/dispatch/agentreports.py
+++ b/src/cactuswalk/dispatch/agentreports.py
@@ -69,7 +69,7 @@
 
 def _general_report(state: AgentState, now: float) -> Report:
     """Return the report without the fields that differ between entries."""
-    cpu, memory_mb, gpu = state.room()
+    cpu, memory_mb, gpu = state.free_resources()
     worker = state.worker
     trial = state.health.is_restricted
     can_try = not trial or state.can_try(now)
--- a/src/cactuswalk/dispatch/agentstate.py
+++ b/src/cactuswalk/dispatch/agentstate.py
@@ -115,7 +115,7 @@
             peer.pending_ends and peer.is_heard(now) for peer in self.entries.values()
         )
 
-    def room(self) -> tuple[int, int, int]:
+    def free_resources(self) -> tuple[int, int, int]:
         """Return the free capacity: thousandths of a core, megabytes, accelerators."""
         if self.worker is None:
             return 0, 0, 0
--- a/src/cactuswalk/dispatch/agentworker.py
+++ b/src/cactuswalk/dispatch/agentworker.py
@@ -128,7 +128,7 @@
         return
     _clear_pending_poll(state, event)
     state.answered_at = now
-    state.acknowledged_end = max(state.acknowledged_end, event.noted)
+    state.acknowledged_end = max(state.acknowledged_end, event.acknowledged)
     _apply_ended(state, event, now)
     unknown_runs = _apply_running(state, event, now)
     ready = state.ready_to_start or not unknown_runs
--- a/src/cactuswalk/dispatch/bounds.py
+++ b/src/cactuswalk/dispatch/bounds.py
@@ -11,8 +11,8 @@
     "CLOCK_DRIFT",
     "ENTRY_LEASE_SECONDS",
     "HEARD_SECONDS",
+    "KEEPALIVE_SECONDS",
     "MARGIN_SECONDS",
-    "PULSE_SECONDS",
     "RESEND_SECONDS",
     "STOP_MARGIN_SECONDS",
     "STOP_SECONDS",
@@ -25,7 +25,7 @@
 
 # Interval of messages between an entry and an agent that runs tasks for it: four in a
 # row may be lost before a lease expires.
-PULSE_SECONDS = 0.1
+KEEPALIVE_SECONDS = 0.1
 
 # An agent runs an entry's tasks for this long after the latest of its own stamps that
 # the entry has returned. Longer than a pause of a busy Python process (a tenth of
@@ -55,8 +55,8 @@
 # An agent that was not heard for this long gets no new tasks: two reports were lost.
 HEARD_SECONDS = 0.5
 
-# An agent counts an entry as disconnected after this long, several pulses, without a
-# message: what the entry sends is lost, even if it still hears the agent.
+# An agent counts an entry as disconnected if no message came for this long, several
+# keepalives: what the entry sends is lost, even if it still hears the agent.
 UNHEARD_SECONDS = 1.0
 
 # Earliest time at which a caller sends a job again after its connection broke (given
--- a/src/cactuswalk/dispatch/effects.py
+++ b/src/cactuswalk/dispatch/effects.py
@@ -67,7 +67,8 @@
 
     Results in ``PollAnswered`` or ``PollFailed``.
 
-    :param noted: acknowledges ends up to this number; the worker may forget them.
+    :param acknowledged: ends up to this number have been received; the worker may
+        forget them.
     :param wait_ms: how long the answer may wait for a run to end.
     :param lease_seconds: new length of the lease; 0 doesn't renew it.
     :param is_check: sent next to a waiting poll, without waiting.
@@ -75,7 +76,7 @@
 
     worker: str
     token: int
-    noted: int
+    acknowledged: int
     wait_ms: int
     lease_seconds: float
     is_check: bool = False
--- a/src/cactuswalk/dispatch/entryagents.py
+++ b/src/cactuswalk/dispatch/entryagents.py
@@ -4,7 +4,7 @@
 
 from cactuswalk.dispatch.agentview import AgentView, PlacedTask
 from cactuswalk.dispatch.bounds import (
-    PULSE_SECONDS,
+    KEEPALIVE_SECONDS,
     worker_lapse_seconds,
 )
 from cactuswalk.dispatch.entryevents import (
@@ -29,7 +29,7 @@
     TaskEnd,
 )
 
-__all__ = ["expire_or_resend", "send_keepalives", "handle_message"]
+__all__ = ["expire_or_resend", "handle_message", "send_keepalives"]
 
 # A start that the agent has not reported is sent again, under the same sequence.
 RESEND_AFTER_SECONDS = 0.15
@@ -183,7 +183,7 @@
     One that is not at home here, and is not used for overflow, is left to forget it.
     """
     if view.placed or view.acknowledged:
-        return PULSE_SECONDS
+        return KEEPALIVE_SECONDS
     if view.report.home or view.address in state.overflow_until:
         return IDLE_KEEPALIVE_SECONDS
     return math.inf
--- a/src/cactuswalk/dispatch/entryjobs.py
+++ b/src/cactuswalk/dispatch/entryjobs.py
@@ -21,10 +21,10 @@
 
 __all__ = [
     "answer_job",
-    "handle_job_arrival",
+    "find_unservable_reason",
     "handle_cancellation",
+    "handle_job_arrival",
     "handle_waiter_left",
-    "find_unservable_reason",
 ]
 
 
--- a/src/cactuswalk/dispatch/entryoverflow.py
+++ b/src/cactuswalk/dispatch/entryoverflow.py
@@ -6,9 +6,9 @@
 from cactuswalk.dispatch.overflow import choose_agents_to_offer, choose_entries_to_ask
 
 __all__ = [
-    "release_overflow_agents",
-    "handle_capacity_request",
     "handle_capacity_offer",
+    "handle_capacity_request",
+    "release_overflow_agents",
     "request_any_agents",
     "request_capacity",
 ]
--- a/src/cactuswalk/dispatch/entrypeers.py
+++ b/src/cactuswalk/dispatch/entrypeers.py
@@ -23,13 +23,13 @@
 )
 
 __all__ = [
+    "forget_silent_peers",
     "handle_configuration",
     "handle_entries",
-    "handle_evacuations",
-    "forget_silent_peers",
-    "send_status_by_turns",
     "handle_entry_status",
+    "handle_evacuations",
     "handle_member_list",
+    "send_status_by_turns",
 ]
 
 # Others are told of an entry only so long after it was heard itself. Without a bound
--- a/src/cactuswalk/dispatch/membership.py
+++ b/src/cactuswalk/dispatch/membership.py
@@ -18,12 +18,12 @@
 import msgspec
 
 __all__ = [
-    "MIN_LOCAL_ENTRIES",
     "FORGET_ENTRY_SECONDS",
     "MAX_HOME_ENTRIES",
+    "MIN_LOCAL_ENTRIES",
     "Member",
-    "digest_members",
     "choose_home_entries",
+    "digest_members",
     "select_candidates",
 ]
 
--- a/src/cactuswalk/dispatch/messages.py
+++ b/src/cactuswalk/dispatch/messages.py
@@ -14,18 +14,18 @@
 from cactuswalk.frames import FrameCodec
 
 __all__ = [
-    "ConfigurationRequest",
+    "CapacityOffer",
+    "CapacityRequest",
     "ConfigurationCopy",
-    "StartEnded",
+    "ConfigurationRequest",
     "EntryStatus",
     "Envelope",
+    "Keepalive",
     "MemberList",
     "Message",
-    "Keepalive",
     "Report",
-    "CapacityRequest",
-    "CapacityOffer",
     "Start",
+    "StartEnded",
     "Stop",
     "TaskEnd",
     "decode",
--- a/src/cactuswalk/dispatch/ordering.py
+++ b/src/cactuswalk/dispatch/ordering.py
@@ -20,8 +20,8 @@
 __all__ = [
     "QUEUEING_SLACK_SHARE",
     "JobAction",
-    "critical_path_seconds",
     "choose_action",
+    "critical_path_seconds",
     "retry_after_seconds",
     "sort_by_urgency",
 ]
--- a/src/cactuswalk/platform/worker.py
+++ b/src/cactuswalk/platform/worker.py
@@ -134,7 +134,7 @@
         sent_at = self.clock()
         body = {
             "fencing_token": effect.token,
-            "last_seen": effect.noted,
+            "last_seen": effect.acknowledged,
             "wait_ms": effect.wait_ms,
         }
         if effect.lease_seconds and effect.worker in self.clock_offsets_ms:
@@ -158,7 +158,7 @@
             sent_at,
             [_decode_running(row) for row in reply.running],
             [_decode_ended(row) for row in reply.finished],
-            effect.noted,
+            effect.acknowledged,
             effect.is_check,
         )
 
