--- a/src/cactuswalk/dispatch/entryevents.py
+++ b/src/cactuswalk/dispatch/entryevents.py
@@ -1,4 +1,4 @@
-"""What happens to an entry, as data."""
+"""The events that an entry's reducer handles."""
 
 import msgspec
 
@@ -23,10 +23,10 @@
 
 
 class JobArrived(msgspec.Struct):
-    """A caller hands a job in and waits for its end.
+    """A caller submits a job and waits for its end.
 
-    :param waiter: names the caller's connection.
-    :param wait_seconds: how long the caller waits.
+    :param waiter: identifies the caller's connection.
+    :param wait_seconds: the caller's timeout.
     """
 
     waiter: int
@@ -36,7 +36,7 @@
 
 
 class WaiterLeft(msgspec.Struct):
-    """A caller waits no more."""
+    """A caller has disconnected."""
 
     waiter: int
     job: str
@@ -62,23 +62,23 @@
 
 
 class EntriesListed(msgspec.Struct):
-    """The entries as the platform has them now."""
+    """The entries that the platform's store lists now."""
 
     members: list[Member]
 
 
 class EvacuationsRead(msgspec.Struct):
-    """The evacuations as the platform has them now."""
+    """The evacuations that the platform's store lists now."""
 
     evacuations: Evacuations
 
 
 class StopRequested(msgspec.Struct):
-    """This process is to end."""
+    """This process was asked to stop."""
 
 
 class Tick(msgspec.Struct):
-    """Time has passed."""
+    """The periodic timer has fired."""
 
 
 EntryEvent = (
--- a/src/cactuswalk/dispatch/entryknown.py
+++ b/src/cactuswalk/dispatch/entryknown.py
@@ -1,4 +1,4 @@
-"""What an entry knows of another one."""
+"""An entry's record of another entry."""
 
 import math
 
@@ -10,11 +10,11 @@
 class KnownEntry(msgspec.Struct):
     """Another entry.
 
-    :param heard_at: when it was met, or spoke itself.
-    :param data_centre: empty while it is not known.
-    :param free_cpu: what its home agents had free when it spoke last, in
-        thousandths of a core.
-    :param told_at: when it was told of the entries that this one knows.
+    :param heard_at: when it was added, or when its latest status came.
+    :param data_centre: empty while unknown.
+    :param free_cpu: of its home agents as of its latest status, in thousandths of a
+        core.
+    :param members_sent_at: when it was last sent the list of entries.
     """
 
     heard_at: float
--- a/src/cactuswalk/dispatch/job.py
+++ b/src/cactuswalk/dispatch/job.py
@@ -1,4 +1,4 @@
-"""Jobs of several sized tasks, as callers hand them in."""
+"""Jobs of tasks with declared sizes, as callers submit them."""
 
 import enum
 
@@ -8,14 +8,15 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Tasks of one size.
+    """A number of tasks of the same size.
 
-    :param cpu: thousandths of a core, of each task.
+    :param count: number of tasks.
+    :param cpu: of each task, in thousandths of a core.
     :param estimate_ms: the caller's rough estimate of a task's run time.
-    :param after: numbers of the steps whose tasks must all be done first.
-    :param label: that the worker must have; empty for none.
-    :param rack: where the data lies; empty for anywhere.
-    :param per_worker: at most this many tasks on one worker; 0 for no limit.
+    :param after: indexes of the steps whose tasks must all be done first.
+    :param label: required of the worker; empty for none.
+    :param rack: where the data is stored; empty for no preference.
+    :param per_worker: maximum number of the step's tasks on one worker; 0 for no limit.
     """
 
     count: int
@@ -30,10 +31,10 @@
 
 
 class JobRequest(msgspec.Struct, frozen=True):
-    """What a caller wants done.
+    """A job as its caller submits it.
 
-    :param identifier: the caller's, 16 hexadecimal digits.
-    :param spec: handed to the worker as it is.
+    :param identifier: chosen by the caller, 16 hexadecimal digits.
+    :param spec: passed to the worker unchanged.
     """
 
     identifier: str
@@ -42,7 +43,7 @@
 
 
 class TaskKey(msgspec.Struct, frozen=True, array_like=True):
-    """Names a task: a job, and the task's place in it."""
+    """Identifies a task by its job, step and index in the step."""
 
     job: str
     step: int
@@ -52,11 +53,11 @@
 class Worker(msgspec.Struct, frozen=True):
     """A worker as it announces itself to its agent.
 
-    :param identifier: of this life of the worker.
-    :param cpu: thousandths of a core in all.
-    :param draining: it takes no new tasks and leaves soon.
-    :param leaves_in_ms: the least time left to a draining worker.
-    :param sequence: grows with each announcement of one life.
+    :param identifier: of this incarnation of the worker.
+    :param cpu: total, in thousandths of a core.
+    :param draining: the worker takes no new tasks and will stop soon.
+    :param leaves_in_ms: lower bound of the time left to a draining worker.
+    :param sequence: grows with each announcement of an incarnation.
     """
 
     identifier: str
@@ -72,9 +73,9 @@
 
 
 class JobVerdict(enum.StrEnum):
-    """How a job ended, for its caller.
+    """How a job ended, as its caller is told.
 
-    NOT_RUN promises that no task has started; UNFINISHED does not.
+    NOT_RUN guarantees that no task has started; UNFINISHED does not.
     """
 
     COMPLETED = "completed"
--- a/src/cactuswalk/dispatch/jobstate.py
+++ b/src/cactuswalk/dispatch/jobstate.py
@@ -1,4 +1,4 @@
-"""A job at the entry that answers for it."""
+"""The state of a job at the entry that is responsible for it."""
 
 import msgspec
 
@@ -11,14 +11,15 @@
 class TaskState(msgspec.Struct, eq=False):
     """One task.
 
-    :param place: address of the agent that has it; empty while it waits.
-    :param last_place: address of the agent that had it last.
-    :param failures: runs that ended as failed.
+    :param agent_address: of the agent that has it; empty while it waits.
+    :param last_agent_address: of the agent that had it last.
+    :param sequence: of its latest start.
+    :param failures: number of runs that failed.
     :param runs: number of its latest run.
     :param placed_at: when its latest start was sent.
-    :param held_seconds: from then until its end was heard.
-    :param ran_ms: of that, how long it ran as its agent saw it.
-    :param avoid: agents where it failed or was lost.
+    :param outstanding_seconds: from then until its end was received.
+    :param ran_ms: the part of that in which it ran, as its agent observed it.
+    :param avoided_agents: addresses of agents where it failed, was stopped or lost.
     """
 
     job: "JobState"
@@ -40,14 +41,17 @@
     """One job, from its arrival to its answer.
 
     :param waiters: callers' connections that wait for the answer.
-    :param expected: seconds that its longest chain of tasks is expected to run.
-    :param latest_start: when it should have started to be on time.
-    :param on_time_by: until then it is of full use to its caller.
-    :param give_up_at: then its caller waits no more.
+    :param expected_seconds: expected run time of its longest chain of steps.
+    :param latest_start_at: until when it may wait to be started.
+    :param due_at: until when its answer is on time.
+    :param give_up_at: when its caller stops waiting.
+    :param waiting: tasks that wait for a worker.
+    :param remaining: by step, the number of tasks that are not done.
     :param longest_ms: by step, the run time of its longest task so far.
-    :param sent: starts that were sent and have not ended.
-    :param ran: a task of it has run, or may have.
-    :param first_start_at: when the first of its starts was sent.
+    :param opened_steps: steps whose tasks have been released for placement.
+    :param pending_starts: number of starts that were sent and have not ended.
+    :param may_have_run: a task has run, or may have.
+    :param first_start_at: when the first of its starts was sent; 0 before.
     """
 
     request: JobRequest
@@ -72,11 +76,11 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether a task of it may have run, or may be about to."""
+        """Whether a task may have run or may be about to."""
         return self.may_have_run or self.pending_starts > 0
 
     def release_ready_steps(self) -> None:
-        """Let the tasks wait for a place whose earlier steps are all done."""
+        """Queue the tasks of steps whose earlier steps are all done."""
         for number, step in enumerate(self.request.steps):
             if number in self.opened_steps:
                 continue
@@ -87,7 +91,7 @@
 
 
 def make_tasks(job: JobState) -> None:
-    """Give a new job its tasks, and open the steps that need no other."""
+    """Create the tasks of a new job and release the steps without dependencies."""
     identifier = job.request.identifier
     for number, step in enumerate(job.request.steps):
         job.remaining.append(step.count)
--- a/src/cactuswalk/dispatch/membership.py
+++ b/src/cactuswalk/dispatch/membership.py
@@ -1,15 +1,14 @@
-"""Which entries an agent works with, and which of them it is told of.
-
-Load pattern: with hundreds of hosts every pair of entry and agent that exchange
-reports costs both of them, busy or not, and their number grows with the product of
-both fleets. Processor time that callers need goes into reports that nobody uses, and
-the bytes between data centres are paid for.
-
-So an agent reports to its home entries alone: those of its own data centre, and a few
-elsewhere where the data centre has too few. The choice follows from the directory and
-from names, so that a host that comes or goes moves only its own share, and each entry
-is as often chosen as any other. An entry whose home agents are full asks others for
-room (``overflow``).
+"""The choice of the entries that an agent works with, and is told of.
+
+Load pattern: with hundreds of hosts, each pair of entry and agent that exchanges
+reports costs both of them processor time, busy or idle, and the number of pairs grows
+with the product of both fleets. Traffic between data centres is also paid for.
+
+So an agent reports to its home entries alone: those in its own data centre, and a few
+in others if there are too few. They are chosen by rendezvous hashing over the
+directory: a host that joins or leaves moves only its own share, and all entries are
+chosen equally often. An entry whose home agents are full asks others for free capacity
+(``overflow``).
 """
 
 import hashlib
@@ -27,24 +26,24 @@
     "select_candidates",
 ]
 
-# An agent's room is shared by at most so many entries: each of them hears of the
-# others' starts a little late, and two that choose the same room meet there.
+# Entries that share an agent. Each learns of the others' starts with a delay, and more
+# entries more often start tasks for the same free capacity.
 MAX_HOME_ENTRIES = 8
 
-# With so many entries in its own data centre an agent needs none elsewhere.
+# With this many entries in its own data centre an agent needs none in others.
 MIN_LOCAL_ENTRIES = 4
 
 
-# An entry that nobody names is forgotten when it has been silent for so long. Until
-# then what it told of others is the way back to entries that all ended at the same
-# moment while the store was away.
+# A silent entry that neither the store nor the settings name is forgotten after this.
+# Until then agents can still find entries that were all restarted at once while the
+# store was unavailable.
 FORGET_ENTRY_SECONDS = 20.0
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """An entry, as others are told of it.
+    """An entry, as advertised to other processes.
 
-    :param data_centre: empty while it is not known.
+    :param data_centre: empty while unknown.
     """
 
     address: str
@@ -54,14 +53,14 @@
 def choose_home_entries(
     directory: Mapping[str, str], data_centre: str, agent: str, silent: set[str]
 ) -> list[str]:
-    """Return the entries that an agent reports to, the first choice in front.
+    """Return the entries that an agent reports to, the first choice first.
 
-    Silent ones are reported to as well, since one that comes back learns of its
-    agents in no other way, but another one is taken in the place of each.
+    Silent entries are included, since one that comes back learns of its agents only
+    by their reports, but each is backed up by one more live entry.
 
     :param directory: data centre by address.
     :param agent: its name.
-    :param silent: entries that have not been heard for a while.
+    :param silent: entries that have not been heard recently.
     """
     near = [address for address, centre in directory.items() if centre == data_centre]
     far = [address for address, centre in directory.items() if centre != data_centre]
@@ -77,7 +76,7 @@
     """Return the members that an agent may choose its home entries from.
 
     :param data_centre: the agent's.
-    :param agent: its address, by which agents elsewhere are spread evenly.
+    :param agent: its address, which selects the members in other data centres.
     """
     members = list(members)
     near = [member for member in members if member.data_centre == data_centre]
@@ -89,13 +88,13 @@
 
 
 def digest_members(members: Iterable[Member]) -> int:
-    """Return a number that two equal sets of members share."""
+    """Return a 48-bit hash that is equal for equal sets of members."""
     text = msgspec.msgpack.encode(sorted(members))
     return int.from_bytes(hashlib.blake2b(text, digest_size=6).digest())
 
 
 def _ranked(addresses: list[str], name: str) -> list[str]:
-    """Return addresses in an order of a name's own (rendezvous hashing)."""
+    """Return addresses in the order of a name's rendezvous hashes."""
     return sorted(addresses, key=lambda address: _weight(name, address))
 
 
@@ -104,9 +103,9 @@
 
 
 def _take_live(ranked: list[str], silent: set[str], most: int) -> tuple[list[str], int]:
-    """Return the first addresses with so many live ones, and how many live there are.
+    """Return addresses until ``most`` of them are live, and the number of live ones.
 
-    At most as many silent ones are kept as live ones are wanted.
+    At most ``2 * most`` addresses are returned, silent ones included.
     """
     taken: list[str] = []
     live = 0
--- a/src/cactuswalk/dispatch/ordering.py
+++ b/src/cactuswalk/dispatch/ordering.py
@@ -1,14 +1,13 @@
-"""Who is served first, and who is refused, when there is not room for all.
+"""The order in which jobs get capacity, and when a job is refused.
 
-Load pattern: in a burst more work comes than the workers can do; short lookups
-that have a seventh of a second to spare wait behind rebuilds that have more than
-one. Served in order of arrival, most of both are late and none is of full use.
+Load pattern: a burst brings more work than the workers can do, and short lookups
+with a seventh of a second of slack queue behind rebuilds with more than a second.
+In order of arrival most of both would be late.
 
-The operators' priorities come first; within one, jobs that have begun, then by the
-latest time at which they should start to be on time. One
-that has missed it is refused at once while none of its tasks has started: the room
-goes to jobs that can still be on time, and the caller learns the truth when it can
-still act on it.
+Jobs are sorted by the operators' priority, then started jobs before others, then by
+the latest start that still meets the due time. A job that has missed its latest start
+is refused at once if none of its tasks has started: the capacity goes to jobs that
+can still be on time, and the caller can still react.
 """
 
 import enum
@@ -26,22 +25,22 @@
     "sort_by_urgency",
 ]
 
-# How much of the time that a job could spare it may spend waiting for room. Run
-# times are known to 40%, and workers differ by a quarter: of jobs that are started
-# at the last moment half are late, and have made the next ones late as well. Long
-# queues of one priority also leave the next no room at all.
+# Share of its slack that a job may spend waiting for capacity. Estimates of run times
+# are off by 40% and workers' speeds differ by a quarter: of jobs that start at the last
+# moment half are late and delay the next ones. Long queues of one priority also starve
+# the next priority.
 QUEUEING_SLACK_SHARE = 0.4
 
-# An answer has to be written and travel; after that the caller has left.
+# Time to write and transmit an answer before the caller times out.
 ANSWER_MARGIN_SECONDS = 0.02
 
-# Callers that are refused come back no sooner: a burst lasts some seconds.
+# Bounds of the delay that refused callers are asked for: a burst lasts some seconds.
 MIN_RETRY_SECONDS = 1.0
 MAX_RETRY_SECONDS = 10.0
 
 
 class JobAction(enum.Enum):
-    """What is to become of a job that has not ended."""
+    """What to do with a job that has not ended."""
 
     WAIT = "wait"
     REFUSE = "refuse"
@@ -49,7 +48,7 @@
 
 
 def critical_path_seconds(request: JobRequest, seconds: list[float]) -> float:
-    """Return how long the longest chain of steps takes.
+    """Return the run time of the longest chain of dependent steps.
 
     :param seconds: expected run time of a task, by step.
     """
@@ -61,7 +60,7 @@
 
 
 def sort_by_urgency(jobs: list[JobState]) -> list[JobState]:
-    """Return the jobs that wait for room, the one to serve first in front."""
+    """Return the jobs that wait for capacity, the most urgent first."""
     return sorted(
         jobs,
         key=lambda job: (job.queue.priority, not job.has_started, job.latest_start_at),
@@ -87,9 +86,9 @@
 
 
 def retry_after_seconds(queued_seconds: float) -> float:
-    """Return after how many seconds a refused caller may come back.
+    """Return after how many seconds a refused caller should retry.
 
-    :param queued_seconds: what waits, in seconds of all workers' time.
+    :param queued_seconds: the queued work, in seconds of all workers' time.
     """
     pause = math.ceil(MIN_RETRY_SECONDS + queued_seconds)
     return float(min(MAX_RETRY_SECONDS, pause))
--- a/src/cactuswalk/dispatch/overflow.py
+++ b/src/cactuswalk/dispatch/overflow.py
@@ -1,10 +1,10 @@
-"""Where an entry whose home agents are full looks for room.
+"""The search for free capacity by an entry whose home agents are full.
 
 Load pattern: a data centre gets a seventh more than its share for seconds, or loses
-its workers, while others have room. An entry there knows its own agents only, and
-would refuse jobs that could be served. So it asks entries elsewhere, where most is
-free, for the addresses of a few agents that have some, and speaks to these
-agents itself from then on. Where everybody is full the questions soon become rare.
+its workers, while others have free capacity. Its entries know their home agents only
+and would refuse jobs that others could serve. So an entry asks entries in the data
+centres with the most free capacity for the addresses of a few agents, and then works
+with these agents directly. Requests without success back off exponentially.
 """
 
 import itertools
@@ -18,26 +18,28 @@
 
 __all__ = ["CapacitySearch", "choose_agents_to_offer", "choose_entries_to_ask"]
 
-# Data centres asked at a time: what is known of their room is old by a second.
+# Asked at a time. Their free capacity is only known as of about a second ago, so one
+# of them may have none left.
 MAX_ASKED_DATA_CENTRES = 2
 
-# An entry that spoke longer ago than this may be gone: two rounds of pulses.
+# An entry that was last heard longer ago may have stopped: two rounds of statuses.
 ENTRY_LIVE_SECONDS = 5.0
 
-# Addresses in an offer.
+# Agent addresses in one offer.
 MAX_OFFERED_AGENTS = 4
 
-# Between two questions, in seconds: while answers help, and at most.
+# Delay between two requests: after a successful one, and at most.
 MIN_PAUSE_SECONDS = 0.03
 MAX_PAUSE_SECONDS = 0.4
 
 
 class CapacitySearch(msgspec.Struct):
-    """How an entry's search for room goes.
+    """The state of an entry's search for free capacity.
 
-    :param due_at: it may ask again from then on.
-    :param turn: counts questions, ``offer_turn`` the agents that were offered, so that
-        they go round.
+    :param due_at: when the next request may be sent.
+    :param pause: delay after the next request.
+    :param turn: number of requests, which rotates the entries that are asked.
+    :param offer_turn: number of agents offered to others, which rotates the offers.
     """
 
     due_at: float = 0.0
@@ -46,24 +48,24 @@
     offer_turn: int = 0
 
     def record_request(self, now: float) -> None:
-        """Take note of a question; the next one may have to wait longer."""
+        """Record a request and double the delay before the next one."""
         self.due_at = now + self.pause
         self.pause = min(MAX_PAUSE_SECONDS, 2 * self.pause)
         self.turn += 1
 
     def record_success(self) -> None:
-        """Take note of an answer that brought new agents."""
+        """Record an offer of new agents; the delay starts again from its minimum."""
         self.pause = MIN_PAUSE_SECONDS
 
 
 def choose_entries_to_ask(
     entries: Mapping[str, KnownEntry], data_centre: str, turn: int, now: float
 ) -> list[str]:
-    """Return the addresses of entries that may know of room.
+    """Return the addresses of entries that may know of free capacity.
 
-    One in each of the data centres that have the most: entries of one share their
-    agents, and would offer the same. Those of this entry's own are asked only where
-    there is no other.
+    One in each of the data centres with the most free capacity, since entries in the
+    same data centre share their agents. The entry's own data centre is asked only if
+    no other is known.
     """
     heard: dict[str, dict[str, KnownEntry]] = {}
     for address, entry in entries.items():
@@ -84,7 +86,7 @@
 def choose_agents_to_offer(
     views: Iterable[AgentView], request: CapacityRequest, turn: int, now: float
 ) -> list[str]:
-    """Return the addresses of home agents that have room for a task."""
+    """Return the addresses of home agents with free capacity for a task."""
     roomy = [
         view
         for view in views
@@ -101,7 +103,7 @@
 
 
 def _rotate(items: list[str], turn: int, count: int) -> Iterable[str]:
-    """Return some of the items, beginning further on at each turn."""
+    """Return some of the items, starting at a position that depends on the turn."""
     if not items:
         return []
     first = turn % len(items)
--- a/src/cactuswalk/dispatch/placement.py
+++ b/src/cactuswalk/dispatch/placement.py
@@ -1,20 +1,21 @@
-"""Where a task runs.
-
-Load pattern: workers differ by half in speed, some turn several times slower for
-seconds, and the last task of a wide job decides when its caller is answered.
-Sent to any worker with room, most wide jobs would have a task on the worst one.
-
-Several entries share the workers, and each knows the others' starts a little late.
-If all of them choose the fastest worker that has room, they meet there and decline
-each other. So a task goes where most room is left, weighed by the worker's pace:
-a worker that is a quarter slower still ends a task well within its aim, and a wait
-of a tenth of a second doesn't. Workers of the entry's own data centre go first
-among equals: it shares them with few, and what crosses data centres is paid for.
-
-Load pattern: in a burst every worker is full of tasks that last a second or two, and
-a lookup of eight tasks finds room for some of them in the seventh of a second that
-it can wait. First in the queue is not enough. So while urgent jobs come, the others
-leave a part of each worker free.
+"""Choice of the worker that runs a task.
+
+Load pattern: workers' speeds differ by half, some become several times slower for
+seconds, and the last task of a wide job decides when its caller is answered. If tasks
+went to any worker with free capacity, most wide jobs would have one on the slowest.
+
+Several entries share the workers, and each learns of the others' starts with a delay.
+If all chose the fastest worker with free capacity, their starts would collide there
+and be declined. So a task goes to the worker with the lowest cost, which grows with
+the worker's run times and with its utilization: on a worker that is a quarter slower
+a task is still on time, after a wait of a tenth of a second it may not be. Workers in
+the entry's own data centre are preferred: fewer entries share them, and traffic between
+data centres is paid for.
+
+Load pattern: in a burst all workers are full of tasks of a second or two, and a lookup
+of eight tasks gets capacity for only some of them in the seventh of a second that it
+can wait, even at the head of the queue. So while urgent jobs arrive, less urgent ones
+leave a share of each worker free.
 """
 
 import operator
@@ -32,7 +33,7 @@
     "compute_relative_paces",
 ]
 
-# A worker elsewhere counts as this much slower.
+# Cost factor of a worker in another data centre.
 REMOTE_FACTOR = 1.3
 
 # What a full worker's room counts for: its cost is FULL_PART + 1 over FULL_PART
@@ -40,21 +41,20 @@
 # twice over.
 FULL_WORKER_WEIGHT = 0.4
 
-# Slower than this, relative to the others, a worker is not used while a task can
-# wait: a job is on time within 1.6 times its run time.
+# A worker with run times above this multiple of the median gets probe tasks only: a job
+# is on time within 1.6 times its run time.
 SLOW_FACTOR = 2.0
 
-# What tasks that are less urgent leave free of each worker's room: with more of it the
-# long tasks lose more than the short ones gain.
+# Share of each worker that less urgent tasks leave free. With more, long tasks lose
+# more than short ones gain.
 RESERVED_SHARE = 0.1
 
-# A worker that is slow gets no more than one task from an entry, by which it is
-# seen to have recovered.
+# Tasks that each entry sends to a slow worker at a time, to detect its recovery.
 MAX_PROBES = 1
 
 
 def compute_relative_paces(views: list[AgentView]) -> dict[str, float]:
-    """Return each worker's run times relative to the middle one's."""
+    """Return each worker's run times relative to the median worker's."""
     if not views:
         return {}
     middle = statistics.median(view.report.pace for view in views) or 1.0
@@ -86,14 +86,14 @@
         self.data_centre = data_centre
         self.far_factor = far_factor
         self.views = views
-        # By service, and whether room is left to others, the least size for which
-        # no worker had room. In a burst hundreds of tasks wait, and each turn would
-        # look for room for all of them at all workers: more time than serving what
-        # there is room for.
+        # By service, and whether a share is reserved, the last size that no worker
+        # could take; equal or larger tasks are skipped. In a burst hundreds of tasks
+        # wait, and trying each of them on all workers in every round would take longer
+        # than placing those that fit.
         self.unplaceable_sizes: dict[tuple[str, bool], tuple[int, int, int]] = {}
 
     def choose_worker(self, task: TaskState, service: str) -> AgentView | None:
-        """Return the agent that is to have a task, or None if it has to wait."""
+        """Return the agent for a task, or None if the task has to wait."""
         step = task.step
         size = (step.cpu, step.memory_mb, step.gpu)
         reserves_room = self._reserves_room(task, service)
@@ -116,7 +116,8 @@
             cpu = step.cpu
             if cpu > view.free_cpu:
                 continue
-            # A task that fills a worker alone would otherwise never have a place.
+            # An empty worker takes any task: one that needs the whole worker would
+            # never fit beside the reserved share.
             if reserves_room and not view.is_empty():
                 cpu += int(RESERVED_SHARE * view.report.cpu)
             if not view.fits(cpu, step.memory_mb, step.gpu):
@@ -131,10 +132,10 @@
         return best
 
     def _needs_trusted_worker(self, task: TaskState, service: str) -> bool:
-        """Return whether a task's last attempt is kept for a worker that is trusted.
+        """Return whether a task's last attempt is reserved for a trusted worker.
 
-        A worker that fails all it starts has the most room: the last attempt would
-        go there again, and the job be told as failed though others could do it.
+        A worker that fails every task has the most free capacity. The last attempt
+        would go there again, and the job would fail though other workers could run it.
         """
         if not task.failures or task.failures + 1 < task.job.queue.attempts:
             return False
@@ -142,7 +143,7 @@
         return any(is_large_enough(view, task.step, service) for view in trusted)
 
     def _reserves_room(self, task: TaskState, service: str) -> bool:
-        """Return whether a task is to leave room for more urgent ones."""
+        """Return whether a task leaves the reserved share to more urgent ones."""
         priority = task.job.queue.priority
         return priority > self.urgent_priorities.get(service, priority)
 
@@ -176,7 +177,7 @@
 
 
 def _is_trusted(view: AgentView, task: TaskState) -> bool:
-    """Return whether a worker is sound, and has not failed this task before."""
+    """Return whether a worker is healthy and has not failed this task before."""
     return not view.report.trial and view.address not in task.avoided_agents
 
 
@@ -190,7 +191,7 @@
 def can_ever_run(views: list[AgentView], step: Step, service: str) -> bool:
     """Return whether a known worker of a service is large enough for a task.
 
-    Where none of the service is known, one may yet come.
+    True if no worker of the service is known yet, since one may still appear.
     """
     workers = [view for view in views if view.report.service == service]
     return not workers or any_large_enough(workers, step, service)
--- a/src/cactuswalk/dispatch/routing.py
+++ b/src/cactuswalk/dispatch/routing.py
@@ -1,4 +1,4 @@
-"""Queues: which requests belong to which service, and what is promised there."""
+"""Queues: the service that a request belongs to, and its service level."""
 
 import msgspec
 
@@ -9,11 +9,11 @@
     """One route of the configuration.
 
     :param host: compared with the request's host, without regard to case.
-    :param prefix: of the path; the longest that fits is chosen.
-    :param priority: 0 comes first.
-    :param attempts: after so many failed runs of a task its job has failed.
-    :param stretch: a job is on time within this many times its own run time.
-    :param allowance_ms: added to that.
+    :param prefix: of the path; the longest match is chosen.
+    :param priority: 0 is the most urgent.
+    :param attempts: number of failed runs of one task that fail its job.
+    :param stretch: a job is on time within this multiple of its run time,
+    :param allowance_ms: plus this.
     """
 
     name: str
