--- a/src/cactuswalk/dispatch/agentview.py
+++ b/src/cactuswalk/dispatch/agentview.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one agent and its worker."""
+"""An entry's view of one agent and its worker."""
 
 import math
 import operator
@@ -16,16 +16,16 @@
 
 __all__ = ["AgentView", "PlacedTask"]
 
-# A worker that declined for want of room is passed over until its next report, or
-# this long if that is lost.
+# A worker that declined a start for lack of capacity is skipped until its next report,
+# or for this long if the report is lost.
 DECLINED_PAUSE_SECONDS = 0.03
 
 
 class PlacedTask(msgspec.Struct):
-    """A start that has been sent, and whose end isn't known.
+    """A start that was sent and whose end is not known.
 
     :param task: None once its job has ended; the start is then being stopped.
-    :param gone_at: when it has ended for certain; 0 while the agent is heard.
+    :param expires_at: when it has certainly ended; 0 while the agent is heard.
     """
 
     start: Start
@@ -36,16 +36,17 @@
 
 
 class AgentView(msgspec.Struct):
-    """An agent as its reports tell of it.
+    """An agent as known from its reports.
 
-    :param heard_at: when its latest report came. No stamp that is returned to it
-        is younger.
-    :param noted: sequences whose ends it has to be told were noted.
-    :param free_cpu: what its report left free, less what was sent there since, in
+    :param heard_at: when its latest report came. No stamp echoed to it is newer.
+    :param placed: starts that have not ended, by sequence.
+    :param acknowledged: sequences of ended starts to acknowledge.
+    :param skipped_until: when it may be sent tasks again after it declined one.
+    :param free_cpu: reported free capacity less what was sent there since, in
         thousandths of a core; memory and accelerators likewise.
-    :param unseen: starts that its report doesn't tell of yet.
-    :param told_at: when it was sent the list of entries last.
-    :param told_for: the data centre that this list was chosen for.
+    :param unreported_starts: number of starts that the report does not cover yet.
+    :param members_sent_at: when it was last sent the list of entries.
+    :param members_data_centre: the data centre that this list was chosen for.
     """
 
     address: str
@@ -65,11 +66,11 @@
         self._recompute_free()
 
     def free_resources(self) -> tuple[int, int, int]:
-        """Return what is free: thousandths of a core, megabytes, accelerators."""
+        """Return free thousandths of a core, megabytes and accelerators."""
         return self.free_cpu, self.free_memory_mb, self.free_gpu
 
     def update_report(self, report: Report, now: float) -> bool:
-        """Replace the report by a newer one; return whether more may go there now."""
+        """Replace the report by a newer one; return whether more tasks may fit now."""
         room, was_open = self.free_resources(), self.is_open(now)
         worker = self.report.worker
         self.report = report
@@ -82,11 +83,11 @@
         return has_more or not was_open or report.worker != worker
 
     def is_out_of_date(self, report: Report, now: float) -> bool:
-        """Return whether a report is older than the one that is known.
+        """Return whether a report is older than the known one.
 
-        Stamps grow for as long as the agent's host is up, from one life of the
-        agent to the next. After the host was started anew they are lower; the
-        earlier life has been silent by then.
+        Stamps grow for as long as the agent's host is up, across incarnations of the
+        agent. After a reboot of the host they are lower, but by then the earlier
+        incarnation has been silent for longer than its leases last.
         """
         if report.stamp >= self.report.stamp:
             return False
@@ -96,7 +97,7 @@
         )
 
     def add(self, placed: PlacedTask) -> None:
-        """Reckon with a start that the agent has not reported yet."""
+        """Add a start that the agent has not reported yet."""
         self.placed[placed.start.sequence] = placed
         self._reserve(placed.start)
 
@@ -111,7 +112,7 @@
         )
 
     def fits(self, cpu: int, memory_mb: int, gpu: int) -> bool:
-        """Return whether a task fits what is free, as far as is known."""
+        """Return whether a task fits the free capacity, as far as known."""
         return (
             cpu <= self.free_cpu
             and memory_mb <= self.free_memory_mb
@@ -119,24 +120,24 @@
         )
 
     def free_fraction(self) -> float:
-        """Return what is free, as a part of the worker's room."""
+        """Return the free fraction of the worker's processor capacity."""
         if self.report.cpu <= 0:
             return 0.0
         return self.free_cpu / self.report.cpu
 
     def is_empty(self) -> bool:
-        """Return whether nothing runs there, as far as is known."""
+        """Return whether nothing runs there, as far as known."""
         return self.report.free_cpu >= self.report.cpu and not self.unreported_starts
 
     def skip_until_report(self, now: float) -> None:
-        """Leave it alone until it has reported again."""
+        """Send it no tasks until its next report."""
         self.skipped_until = now + DECLINED_PAUSE_SECONDS
 
     def has_start_expired(self, placed: PlacedTask) -> bool:
-        """Return whether a start that the agent has not seen is refused by now.
+        """Return whether a start that has not arrived would be refused by now.
 
-        Where the link to the agent is cut and the one back is not, the agent's
-        reports show its clock going on without the start.
+        If only the link towards the agent is cut, the agent's reports still come, and
+        their stamps show that the start's stamp is too old.
         """
         report = self.report
         age_ms = report.stamp - placed.start.stamp
@@ -145,7 +146,7 @@
         )
 
     def lapses_at(self) -> float:
-        """Return when all that was placed here has ended, if it stays silent."""
+        """Return when all starts placed here have ended, if the agent stays silent."""
         return self.heard_at + agent_lapse_seconds()
 
     def _recompute_free(self) -> None:
--- a/src/cactuswalk/dispatch/entry.py
+++ b/src/cactuswalk/dispatch/entry.py
@@ -1,8 +1,8 @@
-"""The entry's reducer: it answers for jobs and places their tasks.
+"""The entry's reducer: accepts jobs, places their tasks and answers the callers.
 
-Nothing on a job's path waits for the platform's store. What runs for a job that
-this process answered for ends with it: agents stop the tasks of an entry that
-they no longer hear (``bounds``).
+Processing a job never waits for the platform's store. If this process ends, so do
+the tasks of its jobs: agents stop the tasks of an entry that they no longer hear
+(``bounds``).
 """
 
 from cactuswalk.dispatch.bounds import STOP_MARGIN_SECONDS
@@ -53,13 +53,13 @@
 
 __all__ = ["reduce"]
 
-# Entries tell a few others of their configuration this often; who learns of a new
-# version tells all others at once.
+# Interval at which an entry sends its status to a few others. An entry that receives a
+# new configuration sends it to all others at once.
 ENTRY_STATUS_SECONDS = 0.3
 
 
 def reduce(state: EntryState, event: EntryEvent, now: float) -> list[Effect]:
-    """Take an event, and return what is to be done."""
+    """Handle an event and return the effects to perform."""
     HANDLERS[type(event)](state, event, now)
     if state.evacuations_changed:
         state.evacuations_changed = False
@@ -77,7 +77,7 @@
 def _stop_requested(state: EntryState, _: StopRequested, now: float) -> None:
     if not state.stop_at:
         state.stop_at = now + state.grace_seconds
-        state.say("is to stop", jobs=len(state.jobs))
+        state.say("stop requested", jobs=len(state.jobs))
 
 
 def _tick(state: EntryState, _: Tick, now: float) -> None:
@@ -104,7 +104,7 @@
 
 
 def _refuse_evacuated(state: EntryState, now: float) -> None:
-    """Refuse jobs that wait for workers which are evacuated by now."""
+    """Refuse waiting jobs whose only possible workers have been evacuated."""
     for job in list(state.jobs.values()):
         reason = (
             ""
--- a/src/cactuswalk/dispatch/entryagents.py
+++ b/src/cactuswalk/dispatch/entryagents.py
@@ -1,4 +1,4 @@
-"""What passes between an entry and the agents."""
+"""Messages between an entry and the agents."""
 
 import math
 
@@ -31,19 +31,19 @@
 
 __all__ = ["expire_or_resend", "handle_message", "send_keepalives"]
 
-# A start that the agent has not reported is sent again, under the same sequence.
+# A start that the agent has not reported is sent again with the same sequence.
 RESEND_AFTER_SECONDS = 0.15
 
-# Home agents that run nothing for this entry hear from it this often, so that they
-# know of it, and of the other entries.
+# Keepalive interval of home agents that run nothing for this entry, by which they
+# learn of it and of other entries.
 IDLE_KEEPALIVE_SECONDS = 0.4
 
-# An agent that has not confirmed the list of entries is sent it this often.
+# Interval at which the list of entries is sent again until the agent confirms it.
 MEMBERS_INTERVAL_SECONDS = 0.3
 
 
 def handle_message(state: EntryState, event: Received, now: float) -> None:
-    """Take a message of another process."""
+    """Handle a message from another process."""
     handler = MESSAGE_HANDLERS.get(type(event.message))
     if handler is not None:
         handler(state, event.sender, event.message, now)
@@ -52,12 +52,12 @@
 def _handle_report(state: EntryState, sender: str, report: Report, now: float) -> None:
     view = state.views.get(sender)
     if view is None:
-        # Jobs may have waited for a first worker, and nothing else would come to have
-        # them placed before they are refused.
+        # Jobs may be waiting for a first worker, and no other event would have them
+        # placed before they are refused.
         state.placement_needed |= not state.has_usable_agent(now)
         view = state.views[sender] = AgentView(sender, report, now)
         state.say(
-            "meets an agent", agent=sender, worker=report.worker, home=report.home
+            "discovered an agent", agent=sender, worker=report.worker, home=report.home
         )
         _send_keepalive(state, view, now)
     if view.is_out_of_date(report, now):
@@ -66,15 +66,15 @@
         _handle_agent_restart(state, view, now)
     if report.open != view.report.open or report.trial != view.report.trial:
         state.say(
-            "a worker's standing changes",
+            "a worker's availability has changed",
             agent=sender,
             worker=report.worker,
             open=report.open,
             trial=report.trial,
             pace=report.pace,
         )
-    # Most reports bring nothing that a waiting task could use, and placing looks
-    # at every agent.
+    # Most reports bring no capacity for a waiting task, and a placement round visits
+    # every agent.
     state.placement_needed |= view.update_report(report, now)
     if report.open:
         state.first_open_worker_at = min(state.first_open_worker_at, now)
@@ -84,8 +84,8 @@
 
 
 def _handle_agent_restart(state: EntryState, view: AgentView, now: float) -> None:
-    """Reckon with an agent's new life: the old one's runs lapse soon."""
-    state.say("an agent has started anew", agent=view.address)
+    """Limit the starts of an agent's earlier incarnation to their worker lease."""
+    state.say("an agent has restarted", agent=view.address)
     expires_at = min(now + worker_lapse_seconds(), view.lapses_at())
     for placed in view.placed.values():
         placed.expires_at = placed.expires_at or expires_at
@@ -95,23 +95,24 @@
 def _end_starts_of_earlier_incarnations(
     state: EntryState, view: AgentView, now: float
 ) -> None:
-    """Run the tasks of an agent's earlier life elsewhere.
+    """Have the tasks of an agent's earlier incarnations run again.
 
-    The present one is open, so it has looked at its worker, which takes no order
-    of an earlier life since then, and nothing of theirs runs there. After a power
-    cut this is sooner than their leases end.
+    The current incarnation is open, so it has polled its worker. Since then the worker
+    refuses calls of earlier incarnations, and none of their tasks runs there. After a
+    power cut this is known before their leases end.
     """
     for placed in list(view.placed.values()):
         start = placed.start
         ended = start.agent_incarnation != view.report.incarnation
-        # A report that the network held up may be of an earlier life itself.
+        # A report that was delayed in the network may itself be of an earlier
+        # incarnation.
         if ended and start.stamp < view.report.stamp:
-            reason = "its agent has started anew"
+            reason = "its agent has restarted"
             end_start(state, view, placed, TaskEnd.LOST, 0, reason, now)
 
 
 def _reconcile(state: EntryState, view: AgentView, now: float) -> None:
-    """Find starts that never arrived: later ones have, and it holds nothing."""
+    """End starts that never arrived: later ones have, or their stamp is too old."""
     held = set(view.report.held)
     for sequence, placed in list(view.placed.items()):
         if placed.start.agent_incarnation != view.report.incarnation:
@@ -136,7 +137,7 @@
 
 
 def expire_or_resend(state: EntryState, now: float) -> None:
-    """Give up what silent agents held, and send again what may be lost."""
+    """End the starts of silent agents, and resend messages that may be lost."""
     for view in state.views.values():
         silent = now - view.heard_at > RESEND_AFTER_SECONDS
         for placed in list(view.placed.values()):
@@ -145,7 +146,7 @@
                 expires_at = expires_at or view.lapses_at()
             if expires_at and now >= expires_at:
                 end_start(
-                    state, view, placed, TaskEnd.LOST, 0, "its leases have passed", now
+                    state, view, placed, TaskEnd.LOST, 0, "its leases have expired", now
                 )
             elif not silent:
                 _resend(state, view, placed, now)
@@ -170,7 +171,7 @@
 
 
 def send_keepalives(state: EntryState, now: float) -> None:
-    """Let agents go on, those with work here sooner."""
+    """Send the keepalives that are due; agents with tasks of this entry get more."""
     for view in state.views.values():
         period = _keepalive_period(state, view)
         if now - state.keepalive_sent_at.get(view.address, 0.0) >= period - 0.001:
@@ -178,9 +179,10 @@
 
 
 def _keepalive_period(state: EntryState, view: AgentView) -> float:
-    """Return how often an agent hears from this entry.
+    """Return the keepalive interval of an agent.
 
-    One that is not at home here, and is not used for overflow, is left to forget it.
+    It is infinite for agents that are neither home agents nor used for overflow, so
+    that these forget this entry.
     """
     if view.placed or view.acknowledged:
         return KEEPALIVE_SECONDS
@@ -213,10 +215,10 @@
 
 
 def _needs_members(state: EntryState, view: AgentView, now: float) -> bool:
-    """Return whether an agent has not confirmed the present list of entries.
+    """Return whether an agent has not confirmed the current list of entries.
 
-    A list that was chosen for another data centre than the agent's would keep it away
-    from its own entries for as long as no entry comes or goes.
+    A list chosen for another data centre counts as unconfirmed: with it the agent would
+    not find its own data centre's entries until some entry joins or leaves.
     """
     report = view.report
     confirmed = (
--- a/src/cactuswalk/dispatch/entryjobs.py
+++ b/src/cactuswalk/dispatch/entryjobs.py
@@ -1,4 +1,4 @@
-"""Jobs at the entry that answers for them, from arrival to answer."""
+"""Jobs at the entry that accepted them, from arrival to answer."""
 
 from cactuswalk.decisions.estimation import DurationEstimate
 from cactuswalk.dispatch.bounds import STOP_MARGIN_SECONDS
@@ -29,7 +29,7 @@
 
 
 def handle_job_arrival(state: EntryState, event: JobArrived, now: float) -> None:
-    """Take a job in, or another caller for one that is under way."""
+    """Accept or refuse a job, or add a caller to one that is in progress."""
     known = state.jobs.get(event.request.identifier)
     if known is not None:
         known.waiters.append(event.waiter)
@@ -37,7 +37,7 @@
         return
     job = _make_job(state, event, now)
     if state.stop_at and job.due_at > state.stop_at - STOP_MARGIN_SECONDS:
-        _refuse_waiters(state, job, "this entry is about to stop")
+        _refuse_waiters(state, job, "this entry is stopping")
         return
     reason = find_unservable_reason(state, event.request, event.queue)
     if reason:
@@ -51,7 +51,7 @@
 
 
 def find_unservable_reason(state: EntryState, request: JobRequest, queue: Queue) -> str:
-    """Return why no known worker can run a job, or an empty text."""
+    """Return why no known worker can run a job, or an empty string."""
     steps, service = request.steps, queue.service
     known = list(state.views.values())
     if not all(can_ever_run(known, step, service) for step in steps):
@@ -62,7 +62,7 @@
     if all(any_large_enough(usable, step, service) for step in steps):
         return ""
     if not usable and state.knows_usable_data_centre():
-        # Its entries are being asked for agents.
+        # The entries there are being asked for agents.
         return ""
     return "the workers that could run it are evacuated"
 
@@ -90,18 +90,20 @@
 
 
 def handle_waiter_left(state: EntryState, event: WaiterLeft, now: float) -> None:
-    """Give a job up whose last caller has left."""
+    """Give up a job when its last caller has disconnected."""
     job = state.jobs.get(event.job)
     if job is None or event.waiter not in job.waiters:
         return
     job.waiters.remove(event.waiter)
     if not job.waiters:
-        state.say("the caller has left", job=event.job, waited=now - job.arrived_at)
+        state.say(
+            "the caller has disconnected", job=event.job, waited=now - job.arrived_at
+        )
         _remove_job(state, job, now)
 
 
 def handle_cancellation(state: EntryState, event: JobCancelled, now: float) -> None:
-    """Give a job up as its caller asked."""
+    """Give up a job at its caller's request."""
     job = state.jobs.get(event.job)
     if job is None:
         return
@@ -112,7 +114,7 @@
 def answer_job(
     state: EntryState, job: JobState, verdict: JobVerdict, reason: str, now: float
 ) -> None:
-    """Tell the callers of a job how it ended, and forget it."""
+    """Answer the callers of a job and remove it."""
     pause = 0.0
     if verdict is not JobVerdict.COMPLETED:
         pause = retry_after_seconds(state.queued_seconds())
@@ -148,7 +150,7 @@
 
 
 def _remove_job(state: EntryState, job: JobState, now: float) -> None:
-    """Forget a job, and have stopped what still runs for it."""
+    """Remove a job and stop its running tasks."""
     del state.jobs[job.request.identifier]
     job.waiting.clear()
     for task in job.tasks:
@@ -163,7 +165,7 @@
 def _room_seen(
     state: EntryState, job: JobState, verdict: JobVerdict, now: float
 ) -> dict[str, object]:
-    """Return what this entry knew of the workers when it refused a job."""
+    """Return log fields on the known workers if the job is refused."""
     if verdict is not JobVerdict.NOT_RUN:
         return {}
     views = [
@@ -185,7 +187,7 @@
 
 
 def _last_task(job: JobState) -> dict[str, object]:
-    """Return where the time of a job's last task went, for its log line."""
+    """Return log fields on how long a job's last task waited and ran."""
     task = job.last_task
     if task is None:
         return {}
--- a/src/cactuswalk/dispatch/entryoverflow.py
+++ b/src/cactuswalk/dispatch/entryoverflow.py
@@ -1,4 +1,4 @@
-"""What an entry does to use the room of agents that are not at home here."""
+"""The use of overflow agents: agents that are not home agents of this entry."""
 
 from cactuswalk.dispatch.entrystate import EntryState
 from cactuswalk.dispatch.messages import CapacityOffer, CapacityRequest, Keepalive
@@ -13,19 +13,19 @@
     "request_capacity",
 ]
 
-# A job that has just come is not worth a question: the home agents free room all the
-# time, and an overflow agent costs messages for a second or more.
+# How long a job waits before capacity is requested for it. Home agents free capacity
+# all the time, and an overflow agent costs messages for a second or more.
 REQUEST_AFTER_SECONDS = 0.015
 
-# Overflow agents are spoken to for so long after the last offer or start.
+# An overflow agent is released this long after its last offer or start.
 OVERFLOW_IDLE_SECONDS = 1.0
 
-# Of those, at most so many at a time: each costs as much as one that is at home.
+# At the same time. Each costs as many messages as a home agent.
 MAX_OVERFLOW_AGENTS = 10
 
 
 def request_capacity(state: EntryState, now: float) -> None:
-    """Ask other entries for agents that have room, if jobs wait for some here."""
+    """Ask other entries for agents with free capacity, if jobs wait here."""
     if not _can_request(state, now):
         return
     waiting = [
@@ -43,10 +43,10 @@
 
 
 def request_any_agents(state: EntryState, now: float) -> None:
-    """Ask other entries for any agents, if none that may get tasks is heard here.
+    """Ask other entries for any agents, if no usable one is heard here.
 
-    Where a data centre has no agents, has lost them all or is evacuated, its entries
-    would turn callers away though these can be served elsewhere.
+    Otherwise the entries of a data centre without agents, or of an evacuated one, would
+    refuse jobs that others could serve.
     """
     if not state.has_usable_agent(now) and _can_request(state, now):
         _send_request(state, CapacityRequest("", 0, 0, 0), now)
@@ -72,7 +72,7 @@
 def handle_capacity_request(
     state: EntryState, sender: str, request: CapacityRequest, now: float
 ) -> None:
-    """Offer another entry agents that have room, unless jobs wait for it here."""
+    """Offer agents with free capacity to another entry, unless jobs wait here."""
     if state.waiting_jobs():
         return
     search = state.search
@@ -87,7 +87,7 @@
 def handle_capacity_offer(
     state: EntryState, sender: str, offer: CapacityOffer, now: float
 ) -> None:
-    """Speak to the agents that another entry has offered."""
+    """Begin to use the agents that another entry has offered."""
     new = [address for address in offer.agents if address not in state.views]
     for address in offer.agents:
         state.overflow_until[address] = now + OVERFLOW_IDLE_SECONDS
@@ -109,9 +109,9 @@
 
 
 def release_overflow_agents(state: EntryState, now: float) -> None:
-    """Let go of agents whose room has not been used for a while.
+    """Release overflow agents that have not been used for a while.
 
-    Where no agent at home may get tasks they stay: without them there would be nobody.
+    They are kept if no home agent is usable, since there would be no agent left.
     """
     if not any(view.report.home for view in state.usable_views()):
         return
--- a/src/cactuswalk/dispatch/entrypeers.py
+++ b/src/cactuswalk/dispatch/entrypeers.py
@@ -1,8 +1,8 @@
-"""What passes among entries, and what they learn from the store.
+"""Messages among entries, and what they read from the store.
 
-Each entry speaks to a few others by turns, so that the cost of it doesn't grow with
-their number; what one of them knows spreads from each to the next. The list of all
-entries passes only between two that differ in it.
+Each entry sends its status to a few others per round, in turn, so the cost does not
+grow with their number, and news spread from entry to entry (gossip). The full list of
+entries is only exchanged by two entries whose digests of it differ.
 """
 
 import itertools
@@ -32,26 +32,27 @@
     "send_status_by_turns",
 ]
 
-# Others are told of an entry only so long after it was heard itself. Without a bound
-# two entries would for ever tell each other of a third that is gone for good.
+# An entry that the store does not list is advertised to others for this long after it
+# was last heard. Without a bound, two entries would advertise a third one that has gone
+# to each other forever.
 ADVERTISE_SECONDS = 5.0
 
-# Agents that were silent for this long, with nothing placed there, are forgotten;
-# those that were used for overflow are expected to fall silent.
+# Silent agents without starts are forgotten after this. Released overflow agents
+# are expected to stop reporting.
 FORGET_AGENT_SECONDS = 10.0
 FORGET_OVERFLOW_SECONDS = 3.0
 
-# Entries that one speaks to in a round.
+# Entries that get a status in one round.
 MAX_ENTRIES_PER_ROUND = 6
 
-# The list of entries goes to the same one no more often than this.
+# Minimum interval of lists of entries to the same entry.
 MEMBERS_INTERVAL_SECONDS = 1.0
 
 
 def handle_entry_status(
     state: EntryState, sender: str, status: EntryStatus, now: float
 ) -> None:
-    """Take what another entry knows."""
+    """Handle another entry's status."""
     member = Member(sender, status.data_centre)
     entry = _get_or_add_entry(state, sender, now)
     entry.heard_at = now
@@ -69,7 +70,7 @@
 def handle_member_list(
     state: EntryState, sender: str, message: MemberList, now: float
 ) -> None:
-    """Take the entries that another one knows."""
+    """Add the entries that another one knows."""
     for member in message.members:
         if member.address != state.address:
             entry = _get_or_add_entry(state, member.address, now)
@@ -89,13 +90,13 @@
 def _get_or_add_entry(state: EntryState, address: str, now: float) -> KnownEntry:
     entry = state.entries.get(address)
     if entry is None:
-        state.say("meets an entry", entry=address)
+        state.say("discovered an entry", entry=address)
         entry = state.entries[address] = KnownEntry(now)
     return entry
 
 
 def refresh_members(state: EntryState, now: float) -> None:
-    """Reckon anew which entries others are told of, this one among them."""
+    """Update the list of entries that others are told of, this one included."""
     members = [Member(state.address, state.data_centre)]
     members.extend(
         Member(address, entry.data_centre)
@@ -113,7 +114,7 @@
 def handle_configuration(
     state: EntryState, event: ConfigurationRead, now: float
 ) -> None:
-    """Put a configuration in force if it is newer."""
+    """Apply a configuration if it is newer."""
     version = event.queues.version
     if version <= state.version:
         return
@@ -123,14 +124,14 @@
 
 
 def handle_evacuations(state: EntryState, event: EvacuationsRead, now: float) -> None:
-    """Take the evacuations as the store has them."""
+    """Apply the evacuations read from the store."""
     _apply_evacuations(state, event.evacuations, "the store", now)
 
 
 def _apply_evacuations(
     state: EntryState, evacuations: Evacuations, source: str, now: float
 ) -> None:
-    """Place by newer evacuations from now on, and tell others of a change at once."""
+    """Apply newer evacuations, and tell others of a change at once."""
     if not evacuations.is_newer_than(state.evacuations):
         return
     was = state.evacuations
@@ -140,7 +141,7 @@
     state.evacuations_changed = state.placement_needed = True
     state.observe("evacuations_changed")
     state.say(
-        "the evacuated data centres change",
+        "the evacuated data centres have changed",
         evacuated=list(evacuations.data_centres),
         was=list(was.data_centres),
         revision=evacuations.revision,
@@ -150,7 +151,7 @@
 
 
 def handle_entries(state: EntryState, event: EntriesListed, now: float) -> None:
-    """Take up the entries that the store lists."""
+    """Add the entries that the store lists."""
     state.listed_entries = {member.address for member in event.members} - {
         state.address
     }
@@ -162,7 +163,7 @@
 
 
 def send_status_by_turns(state: EntryState, now: float) -> None:
-    """Tell the next few of the other entries what this one knows."""
+    """Send this entry's status to the next few other entries."""
     state.status_sent_at = now
     refresh_members(state, now)
     addresses = sorted(state.entries)
@@ -176,7 +177,7 @@
 
 
 def send_status(state: EntryState, addresses: list[str], now: float) -> None:
-    """Tell some of the other entries what this one knows."""
+    """Send this entry's status to some other entries."""
     status = EntryStatus(
         state.incarnation,
         state.version,
@@ -190,15 +191,15 @@
 
 
 def forget_silent_peers(state: EntryState, now: float) -> None:
-    """Forget entries and agents that have been silent for long."""
+    """Remove entries and agents that have been silent for too long."""
     for address, entry in list(state.entries.items()):
         kept = address in state.listed_entries or address in state.seeds
         if not kept and now - entry.heard_at > FORGET_ENTRY_SECONDS:
-            state.say("forgets a silent entry", entry=address)
+            state.say("removed a silent entry", entry=address)
             del state.entries[address]
     for address, view in list(state.views.items()):
         most = FORGET_AGENT_SECONDS if view.report.home else FORGET_OVERFLOW_SECONDS
         if not view.placed and now - view.heard_at > most:
-            state.say("forgets a silent agent", agent=address)
+            state.say("removed a silent agent", agent=address)
             del state.views[address]
             state.keepalive_sent_at.pop(address, None)
--- a/src/cactuswalk/dispatch/entryplacing.py
+++ b/src/cactuswalk/dispatch/entryplacing.py
@@ -1,4 +1,4 @@
-"""Tasks sent to workers, and what becomes of them there."""
+"""Placement of tasks on workers, and the handling of their ends."""
 
 from cactuswalk.dispatch.agentview import AgentView, PlacedTask
 from cactuswalk.dispatch.entryjobs import answer_job
@@ -16,12 +16,13 @@
 
 __all__ = ["end_start", "place_tasks"]
 
-# A task that was given back twice stays where it is: it may be slow by itself.
+# A task that was returned this often is not returnable any more: it may be the task
+# that is slow, not the workers.
 MAX_RETURNS = 2
 
 
 def place_tasks(state: EntryState, now: float) -> None:
-    """Send tasks that wait to the workers that have room."""
+    """Send waiting tasks to workers with free capacity."""
     waiting = state.waiting_jobs()
     live_views = [
         view
@@ -29,7 +30,7 @@
         if view.report.worker and now - view.heard_at < READY_HEARD_SECONDS
     ]
     views = [view for view in live_views if view.is_open(now)]
-    # While all are full, most turns bring room for none of the tasks that wait.
+    # While all workers are full, most rounds free too little for any waiting task.
     least = min(task.step.cpu for job in waiting for task in job.waiting)
     if all(view.free_cpu < least for view in views):
         return
@@ -54,7 +55,7 @@
         if view is None:
             left.append(task)
             if not task.avoided_agents:
-                # Tasks of a step are alike: where one doesn't fit, none does.
+                # Tasks of a step have the same size: if one doesn't fit, none does.
                 left.extend(job.waiting[number + 1 :])
                 break
             continue
@@ -103,7 +104,7 @@
     reason: str,
     now: float,
 ) -> None:
-    """Take note that a start has ended, and see to its task."""
+    """Record that a start has ended, and complete or requeue its task."""
     del view.placed[placed.start.sequence]
     state.placement_needed = True
     task = placed.task
@@ -152,8 +153,8 @@
     job.remaining[task.key.step] -= 1
     if job.remaining[task.key.step]:
         return
-    # The last of a step's tasks decides when its job is done, so that is what
-    # the estimate of a job's run time learns from.
+    # A step lasts as long as its slowest task, so the estimate of the job's run time is
+    # updated with the longest one.
     longest = max(1, job.longest_ms[task.key.step]) / 1000
     state.estimates[job.queue.name].observe(task.step.estimate_ms, longest)
     if any(job.remaining):
--- a/src/cactuswalk/dispatch/entrystate.py
+++ b/src/cactuswalk/dispatch/entrystate.py
@@ -1,4 +1,4 @@
-"""What one entry knows, and what all parts of its reducer do with it."""
+"""The state of an entry's reducer."""
 
 import math
 
@@ -15,33 +15,37 @@
 
 __all__ = ["READY_HEARD_SECONDS", "EntryState"]
 
-# An entry that hears no agent for this long can serve nobody: several reports.
+# An agent is live if it has reported within this time, several report intervals. An
+# entry without live agents can serve no caller.
 READY_HEARD_SECONDS = 1.0
 
-# Jobs of a priority are expected for so long after one has come: a pause between two
-# of them shouldn't have others take the room that the next one needs.
+# A priority counts as urgent for this long after a job of it arrived, so that in a
+# short pause other jobs don't take the capacity that the next one needs.
 URGENT_SECONDS = 1.0
 
-# Processes that were powered on together meet within so long of the first. An entry
-# that is up before its agents would refuse jobs that have the time to wait for them.
+# Processes that were powered on together discover each other within this time. Without
+# it an entry that is up before its agents would refuse jobs that could wait for them.
 DISCOVERY_SECONDS = 0.3
 
-# What is told to callers as the queue's length where no worker is known.
+# Assumed length of the queue if no worker is known.
 MAX_QUEUED_SECONDS = 5.0
 
 
 class EntryState:
-    """All that one entry knows.
+    """The state of one entry.
 
     :param address: this entry's, for messages.
-    :param life: names this life of the process.
+    :param incarnation: identifies this run of the process.
     :param seeds: addresses of other entries from the settings.
-    :param far_factor: by which a task takes longer away from its data's rack.
+    :param far_factor: by which a task takes longer outside its data's rack.
     :param grace_seconds: between the request to stop and a kill.
-    :ivar listed: addresses of the entries that the store has.
-    :ivar members: the entries that others are told of, in order.
-    :ivar overflow_until: until when agents that are not at home here are used for
-        their room, by address.
+    :ivar views: agents by address.
+    :ivar listed_entries: addresses of the entries that the store lists.
+    :ivar members: the entries that others are told of, sorted.
+    :ivar overflow_until: until when each overflow agent is used, by address.
+    :ivar arrived_at: when the latest job arrived, by service and priority.
+    :ivar stop_at: when the process will be killed; 0 while it is not stopping.
+    :ivar first_open_worker_at: when a worker that takes tasks was first known.
     """
 
     def __init__(
@@ -88,15 +92,15 @@
         return self.queues.version if self.queues else 0
 
     def waiting_jobs(self) -> list[JobState]:
-        """Return the jobs of which a task waits for a place."""
+        """Return the jobs that have a task waiting for a worker."""
         return [job for job in self.jobs.values() if job.waiting]
 
     def is_ready(self, now: float) -> bool:
-        """Return whether new callers should come to this entry."""
+        """Return whether this entry should get new callers."""
         return self.queues is not None and not self.stop_at and self.has_live_agent(now)
 
     def has_live_agent(self, now: float) -> bool:
-        """Return whether any agent has been heard lately."""
+        """Return whether any agent has reported recently."""
         return any(
             now - view.heard_at < READY_HEARD_SECONDS for view in self.views.values()
         )
@@ -113,13 +117,13 @@
         ]
 
     def knows_usable_data_centre(self) -> bool:
-        """Return whether a data centre with entries is known that isn't evacuated."""
+        """Return whether any known data centre with entries is not evacuated."""
         known = {entry.data_centre for entry in self.entries.values()}
         known.add(self.data_centre)
         return bool(known - {""} - set(self.evacuations.data_centres))
 
     def has_usable_agent(self, now: float) -> bool:
-        """Return whether an agent that may get tasks has been heard lately."""
+        """Return whether an agent that may get tasks has reported recently."""
         evacuated = self.evacuations.data_centres
         return any(
             now - view.heard_at < READY_HEARD_SECONDS
@@ -128,7 +132,7 @@
         )
 
     def free_cpu(self, now: float) -> int:
-        """Return what the home agents have free, in thousandths of a core."""
+        """Return the home agents' free capacity in thousandths of a core."""
         return sum(
             max(0, view.free_cpu)
             for view in self.usable_views()
@@ -136,17 +140,17 @@
         )
 
     def is_discovering_workers(self, now: float) -> bool:
-        """Return whether this entry has known no open worker until a moment ago."""
+        """Return whether no open worker was known until just now."""
         return now - self.first_open_worker_at < DISCOVERY_SECONDS
 
     def count_queued_jobs(self, name: str) -> int:
-        """Return how many jobs of a queue wait here and have not started."""
+        """Return the number of a queue's jobs here that have not started."""
         return sum(
             job.queue.name == name and not job.has_started for job in self.jobs.values()
         )
 
     def urgent_priorities(self, now: float) -> dict[str, int]:
-        """Return, by service, the first priority of which jobs have come lately."""
+        """Return the most urgent priority of recent jobs, by service."""
         urgent_priorities: dict[str, int] = {}
         for (service, priority), arrived_at in self.arrived_at.items():
             if now - arrived_at < URGENT_SECONDS:
@@ -156,7 +160,7 @@
         return urgent_priorities
 
     def queued_seconds(self) -> float:
-        """Return what waits for room, in seconds of all workers' time."""
+        """Return the queued work, in seconds of all workers' time."""
         views = self.usable_views()
         capacity = sum(view.report.free_cpu for view in views)
         capacity += sum(
@@ -170,18 +174,18 @@
         return waiting / capacity if capacity > 0 else MAX_QUEUED_SECONDS
 
     def send(self, address: str, message) -> None:
-        """Have a message sent."""
+        """Emit the effect that sends a message."""
         self.effects.append(SendMessage(address, message))
 
     def say(self, sentence: str, **fields: object) -> None:
-        """Have a log line written."""
+        """Emit the effect that writes a log line."""
         self.effects.append(Say(sentence, fields))
 
     def observe(self, name: str, label: str = "", seconds: float | None = None) -> None:
-        """Have an event counted, or a duration recorded."""
+        """Emit the effect that counts an event, or records a duration."""
         self.effects.append(Observe(name, label, seconds))
 
     def send_stop(self, view: AgentView, placed: PlacedTask, now: float) -> None:
-        """Have an agent stop a start."""
+        """Ask an agent to stop the task of a start."""
         placed.stop_sent_at = now
         self.send(view.address, Stop(self.incarnation, placed.start.sequence))
--- a/src/cactuswalk/dispatch/messages.py
+++ b/src/cactuswalk/dispatch/messages.py
@@ -1,7 +1,8 @@
 """Messages between entries and agents, and among entries.
 
-Any of them may be lost, repeated or late. A task's start is known by the life of
-the entry that sent it and a sequence number that grows within that life.
+Any of them may be lost, repeated or late. A start is identified by the incarnation of
+the entry that sent it and a sequence number that grows within that incarnation. An
+incarnation is one run of a process.
 """
 
 import enum
@@ -36,8 +37,9 @@
 class TaskEnd(enum.IntEnum):
     """How a start ended at its agent.
 
-    DECLINED: it never ran. FAILED: it ran and failed. LOST: it ended with its
-    worker or its lease, or never began. STOPPED: as asked.
+    DECLINED: the task never ran. FAILED: it ran and failed. LOST: it ended with its
+    worker or its lease, or its start never arrived. STOPPED: it was stopped, or never
+    began and will not.
     """
 
     DONE = 0
@@ -48,25 +50,25 @@
 
 
 class Report(msgspec.Struct, array_like=True, tag=1):
-    """An agent tells an entry of its worker.
-
-    :param life: of the agent's process.
-    :param entry_life: the receiver's, as the agent knows it.
-    :param stamp: the agent's clock in milliseconds, to be returned by a pulse.
-    :param seen: highest sequence of the receiver's starts that has arrived.
-    :param held: the receiver's starts that are under way, or whose end the
-        receiver has not noted yet.
-    :param hears: whether the agent has heard the receiver lately.
-    :param worker: identifier of the worker's life; empty while there is none.
+    """An agent reports the state of its worker to an entry.
+
+    :param incarnation: of the agent's process.
+    :param entry_incarnation: the receiver's, as the agent knows it.
+    :param stamp: the agent's clock in milliseconds, which a keepalive echoes.
+    :param last_sequence: highest sequence of the receiver's starts that has arrived.
+    :param held: sequences of the receiver's starts that are in progress, or whose end
+        the receiver has not acknowledged yet.
+    :param hears_entry: whether the agent has heard the receiver recently.
+    :param worker: identifier of the worker's incarnation; empty while there is none.
     :param open: whether the worker takes new tasks.
-    :param trial: it takes one task at a time, to see whether it is sound again.
-    :param cpu: of the worker in all, in thousandths of a core.
-    :param free_cpu: what is left of it.
+    :param trial: it takes one task at a time, to check whether it is healthy again.
+    :param cpu: of the worker in total, in thousandths of a core.
+    :param free_cpu: the part of it that is free.
     :param pace: its run times relative to the callers' estimates.
-    :param members_seen: version of the receiver's members that has arrived.
-    :param home: the receiver is one of the entries that this agent works with; any
-        other is reported to only while it speaks to the agent.
-    :param leaves_in_ms: tasks are taken that end within so long; 0 if any are.
+    :param acknowledged_members: version of the receiver's members that has arrived.
+    :param home: the receiver is a home entry of this agent; other entries get reports
+        only while they send to the agent.
+    :param leaves_in_ms: only tasks that end within this time are taken; 0 for no limit.
     """
 
     incarnation: str
@@ -92,12 +94,12 @@
 
 
 class Keepalive(msgspec.Struct, array_like=True, tag=2):
-    """An entry lets an agent go on, and returns its stamp.
+    """An entry renews its lease at an agent, and echoes the agent's stamp.
 
-    :param data_centre: the sender's; it hears of changes there sooner.
-    :param noted: sequences whose ends have been taken note of.
-    :param members: entries that the agent may work with; None if it has been told.
-    :param members_version: of those; grows within a life of the sender.
+    :param data_centre: the sender's; entries there get the agent's changes sooner.
+    :param acknowledged: sequences of starts whose ends were received.
+    :param members: entries that the agent may work with; None if it has the list.
+    :param members_version: of the list; grows within an incarnation of the sender.
     :param evacuations: the newest that the sender knows of.
     """
 
@@ -112,9 +114,9 @@
 
 
 class Start(msgspec.Struct, array_like=True, tag=3):
-    """Start a task, once, if this arrives while its stamp is fresh.
+    """Start a task, at most once, if this arrives while its stamp is fresh.
 
-    :param may_move: its agent may give it back if its worker would keep it for long.
+    :param is_returnable: the agent may return the task if its worker would take long.
     """
 
     incarnation: str
@@ -133,7 +135,7 @@
 
 
 class Stop(msgspec.Struct, array_like=True, tag=4):
-    """Stop what a start began; it ends in ``Ended`` in any case."""
+    """Stop the task of a start; ``StartEnded`` follows in any case."""
 
     incarnation: str
     sequence: int
@@ -142,8 +144,8 @@
 class StartEnded(msgspec.Struct, array_like=True, tag=5):
     """A start has ended.
 
-    :param run: the number under which the worker knew it.
-    :param ran_ms: how long it ran; 0 where that is not known.
+    :param run: the task's run number at the worker.
+    :param ran_ms: how long it ran; 0 if unknown.
     """
 
     entry_incarnation: str
@@ -155,11 +157,11 @@
 
 
 class EntryStatus(msgspec.Struct, array_like=True, tag=6):
-    """An entry tells another that it is there, and what it knows.
+    """An entry tells another that it is alive, and the versions of what it knows.
 
     :param version: of its configuration.
-    :param members: digest of the entries that it knows, itself among them.
-    :param free_cpu: what its home agents have free, in thousandths of a core.
+    :param members: digest of the entries that it knows, itself included.
+    :param free_cpu: of its home agents, in thousandths of a core.
     :param evacuations: the newest that the sender knows of.
     """
 
@@ -178,23 +180,23 @@
 
 
 class ConfigurationCopy(msgspec.Struct, array_like=True, tag=8):
-    """The configuration as the platform holds it."""
+    """The configuration as stored on the platform."""
 
     version: int
     value: bytes
 
 
 class MemberList(msgspec.Struct, array_like=True, tag=9):
-    """An entry tells another which entries it knows, itself among them."""
+    """The entries that the sender knows, itself included."""
 
     members: list[Member]
 
 
 class CapacityRequest(msgspec.Struct, array_like=True, tag=10):
-    """An entry whose agents are full asks another for agents that have room.
+    """An entry whose agents are full asks another for agents with free capacity.
 
-    :param service: empty for agents of any, by one that hears none.
-    :param cpu: of the task that waits, like the other sizes; 0 if none does.
+    :param service: empty for agents of any service, if the sender hears of no agent.
+    :param cpu: of the waiting task, like the other sizes; 0 if none waits.
     """
 
     service: str
@@ -204,7 +206,7 @@
 
 
 class CapacityOffer(msgspec.Struct, array_like=True, tag=11):
-    """Addresses of agents that had room; empty if there were none."""
+    """Addresses of agents with free capacity; empty if there are none."""
 
     agents: list[str]
 
--- a/src/cactuswalk/dispatch/ordering.py
+++ b/src/cactuswalk/dispatch/ordering.py
@@ -68,10 +68,11 @@
 
 
 def choose_action(job: JobState, now: float, is_discovering_workers: bool) -> JobAction:
-    """Return whether a job goes on, is refused, or is given up.
+    """Return whether a job keeps waiting, is refused, or is given up.
 
-    :param meets_workers: the workers are being met, so that room may come at once
-        and not by the end of another job: what can still be on time waits for it.
+    :param is_discovering_workers: the entry has just begun to hear of workers, so
+        capacity may appear without another job ending. A job then waits for as long as
+        it can still be on time.
     """
     if now >= job.give_up_at - ANSWER_MARGIN_SECONDS:
         return JobAction.GIVE_UP if job.has_started else JobAction.REFUSE
--- a/src/cactuswalk/dispatch/placement.py
+++ b/src/cactuswalk/dispatch/placement.py
@@ -36,9 +36,9 @@
 # Cost factor of a worker in another data centre.
 REMOTE_FACTOR = 1.3
 
-# What a full worker's room counts for: its cost is FULL_PART + 1 over FULL_PART
-# times an empty one's, as much as the slowest and the fastest sound worker differ
-# twice over.
+# Added to the free fraction in the cost's divisor. A full worker costs
+# (FULL_WORKER_WEIGHT + 1) / FULL_WORKER_WEIGHT times as much as an empty one, twice
+# the factor between the slowest and the fastest healthy worker.
 FULL_WORKER_WEIGHT = 0.4
 
 # A worker with run times above this multiple of the median gets probe tasks only: a job
@@ -62,13 +62,14 @@
 
 
 class WorkerChooser:
-    """Chooses workers for the tasks of one turn.
+    """Chooses workers for the tasks of one placement round.
 
-    :param heard: agents that are heard.
-    :param views: those of them that are open.
+    :param live_views: agents that have reported recently.
+    :param views: those of them whose workers accept tasks.
+    :param paces: workers' run times relative to the median worker's, by address.
     :param data_centre: the entry's own.
-    :param far_factor: by which a task takes longer away from its data's rack.
-    :param urgent: by service, the first priority of which jobs have come lately.
+    :param far_factor: by which a task takes longer outside its data's rack.
+    :param urgent_priorities: by service, the most urgent priority of recent jobs.
     """
 
     def __init__(
