--- a/features/steps/decision_refusals_steps.py
+++ b/features/steps/decision_refusals_steps.py
@@ -103,9 +103,9 @@
     while context.running and context.running[0][0] <= retry_at:
         context.now, ended = context.running.pop(0)
         name = (ended.task.job.submission, ended.task.index)
-        context.scheduler.finished(*name, ended.worker, True, 300, context.now)
+        context.scheduler.record_result(*name, ended.worker, True, 300, context.now)
         start_assigned(context)
-    context.idle_before = context.scheduler.free_slots() == {"booking": SLOTS}
+    context.idle_before = context.scheduler.count_free_slots() == {"booking": SLOTS}
     context.now = retry_at
     offer(context, deadline=retry_at + seconds, duration_ms=300)
 
@@ -161,12 +161,12 @@
 
 @then('each finished task of team "{team}" lets the next one start')
 def step_next(context, team):
-    queued = sum(context.scheduler.queued().values())
+    queued = sum(context.scheduler.count_queued().values())
     assert queued
     for _ in range(queued):
         ended = context.started.pop(0)
         name = (ended.task.job.submission, ended.task.index)
-        context.scheduler.finished(*name, ended.worker, True, 300, 0.1)
+        context.scheduler.record_result(*name, ended.worker, True, 300, 0.1)
         started = context.scheduler.assign(0.1)
         assert len(started) == 1, started
         context.started.extend(started)
--- a/features/steps/decision_scheduler_steps.py
+++ b/features/steps/decision_scheduler_steps.py
@@ -76,7 +76,7 @@
             self.queued[name] = None
             return
         succeeded = self.generator.random() < 0.7
-        self.scheduler.finished(*name, worker, succeeded, 100, self.now)
+        self.scheduler.record_result(*name, worker, succeeded, 100, self.now)
 
     def cancel(self):
         if not self.queued:
@@ -106,7 +106,7 @@
         self.check()
 
     def check(self):
-        assert sum(self.scheduler.queued().values()) == len(self.queued)
+        assert sum(self.scheduler.count_queued().values()) == len(self.queued)
         for name, worker in self.scheduler.cell.pool.workers.items():
             held = {key for key, (_, where) in self.running.items() if where == name}
             assert set(worker.running) == held
@@ -121,7 +121,7 @@
                 break
             for name, (_, worker) in list(self.running.items()):
                 del self.running[name]
-                self.scheduler.finished(*name, worker, True, 100, self.now)
+                self.scheduler.record_result(*name, worker, True, 100, self.now)
         assert not self.queued, "a task never left the queue"
         assert not self.scheduler.cell.jobs
         state = self.scheduler.cell.service("booking")
@@ -175,7 +175,7 @@
 
 @then("{count:d} scheduler tasks are queued")
 def step_queued(context, count):
-    assert context.scheduler.queued() == {"booking": count}
+    assert context.scheduler.count_queued() == {"booking": count}
 
 
 @then("that scheduler task was started again before the third job")
@@ -183,7 +183,7 @@
     second = context.started[1]
     submission, index = second.task.job.submission, second.task.index
     scheduler = context.scheduler
-    scheduler.finished(submission, index, second.worker, True, 10, 0.02)
+    scheduler.record_result(submission, index, second.worker, True, 10, 0.02)
     started = context.again + scheduler.assign(0.02)
     assert started[0].task.job.submission == "t/j0", started
 
@@ -199,7 +199,7 @@
 @then('scheduler worker "{name}" has {held:d} tasks and {queued:d} task is queued')
 def step_held(context, name, held, queued):
     assert len(context.scheduler.cell.pool.workers[name].running) == held
-    assert context.scheduler.queued() == {"booking": queued}
+    assert context.scheduler.count_queued() == {"booking": queued}
 
 
 @then('the scheduler explains that "{name}" takes nothing because "{reason}"')
@@ -220,7 +220,7 @@
 
 def end_one(context, started):
     name = (started.task.job.submission, started.task.index)
-    context.scheduler.finished(*name, started.worker, True, 100, context.now)
+    context.scheduler.record_result(*name, started.worker, True, 100, context.now)
 
 
 @when(
--- a/features/steps/decision_second_attempts_steps.py
+++ b/features/steps/decision_second_attempts_steps.py
@@ -24,7 +24,9 @@
 def finish(context, started, succeeded=True):
     for entry in started:
         name = (entry.task.job.submission, entry.task.index)
-        context.scheduler.finished(*name, entry.worker, succeeded, 100, context.now)
+        context.scheduler.record_result(
+            *name, entry.worker, succeeded, 100, context.now
+        )
 
 
 def ejected(context):
@@ -61,7 +63,7 @@
     submit(context, idempotent=False)
     submit(context, tasks=2, request=False)
     context.now += seconds
-    context.hedged = context.scheduler.hedges(context.now)
+    context.hedged = context.scheduler.start_hedges(context.now)
 
 
 @then("only the idempotent request is hedged, on another worker")
@@ -74,7 +76,7 @@
 
 @then("it is not hedged again")
 def step_not_again(context):
-    assert context.scheduler.hedges(context.now + 10) == []
+    assert context.scheduler.start_hedges(context.now + 10) == []
 
 
 @when("the straggler workload runs with and without hedging")
--- a/features/steps/decision_sizes_steps.py
+++ b/features/steps/decision_sizes_steps.py
@@ -37,7 +37,7 @@
         self.now += seconds
         while self.running and self.running[0][0] <= self.now:
             _, _, name, worker = heapq.heappop(self.running)
-            self.scheduler.finished(name, 0, worker, True, 300, self.now)
+            self.scheduler.record_result(name, 0, worker, True, 300, self.now)
         for entry in self.scheduler.assign(self.now):
             name = entry.task.job.submission
             self.started[name] = self.now
@@ -49,7 +49,7 @@
     def keep_queued(self, memory_mb, seconds):
         until = self.now + seconds
         while self.now < until:
-            while sum(self.scheduler.queued().values()) < 20:
+            while sum(self.scheduler.count_queued().values()) < 20:
                 self.submit(memory_mb)
             self.step(0.01)
 
@@ -101,7 +101,7 @@
         usages = [
             Usage(name, context.size, used) for _, _, name, worker in load.running
         ]
-        load.scheduler.usage_report("w0", usages, load.now)
+        load.scheduler.process_usage_report("w0", usages, load.now)
     load.keep_queued(context.size, 1.0)
 
 
--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -162,7 +162,7 @@
             place = (started.task.job.submission, 0, started.worker)
             failed = started.worker == "w1"
             ending = (not failed, 100, context.now + 0.1, failed and result.guarded)
-            context.scheduler.finished(*place, *ending)
+            context.scheduler.record_result(*place, *ending)
         context.now += 0.2
 
 
--- a/features/steps/once_flapping_steps.py
+++ b/features/steps/once_flapping_steps.py
@@ -90,7 +90,7 @@
         context.scheduler.set_worker(announcement, True, 0.0)
     for announcement in context.workers:
         for _ in range(3):
-            context.scheduler.worker_died(announcement.worker, 0.0)
+            context.scheduler.record_worker_death(announcement.worker, 0.0)
         context.scheduler.remove_worker(announcement.worker, 0.0)
 
 
--- a/src/cactuswalk/decisions/admission.py
+++ b/src/cactuswalk/decisions/admission.py
@@ -25,7 +25,7 @@
 
 __all__ = ["Backlog", "WaitMargin", "check_admission", "retry_after_ms"]
 
-# Bounds of the factor that the predicted wait is multiplied by.
+# Bounds and initial value of the factor that the predicted wait is multiplied by.
 MIN_WAIT_MARGIN = 2.0
 MAX_WAIT_MARGIN = 10.0
 INITIAL_WAIT_MARGIN = 2.0
@@ -52,7 +52,7 @@
 
 
 class WaitMargin(msgspec.Struct):
-    """Learns by what factor the predicted wait is too short.
+    """Learns by what factor the predicted wait falls short of the actual one.
 
     Overtaking by other jobs, errors of declared run times and the drain rate can't be
     known beforehand. The factor grows with each admitted job that waited longer than
--- a/src/cactuswalk/decisions/affinity.py
+++ b/src/cactuswalk/decisions/affinity.py
@@ -19,7 +19,7 @@
 # The load of a preferred worker is at most this many times the mean load of the free
 # workers, plus one task. Consistent hashing with bounded loads (Mirrokni, Thorup,
 # Zadimoghaddam 2016) gives a constant number of detours at 1.25.
-LOAD_BOUND = 1.25
+MAX_LOAD_RATIO = 1.25
 
 
 class RankedWorker(Protocol):
@@ -47,7 +47,7 @@
     within = [
         worker
         for worker in workers
-        if worker.load <= LOAD_BOUND * mean + 1 / max(1, worker.slots)
+        if worker.load <= MAX_LOAD_RATIO * mean + 1 / max(1, worker.slots)
     ]
     return max(within, key=lambda worker: rank(key, worker.name), default=None)
 
--- a/src/cactuswalk/decisions/binding.py
+++ b/src/cactuswalk/decisions/binding.py
@@ -3,11 +3,15 @@
 from cactuswalk.decisions import placement
 from cactuswalk.decisions.budget import can_be_repeated
 from cactuswalk.decisions.cellstate import CellState
-from cactuswalk.decisions.fitting import RETRY_MS
+from cactuswalk.decisions.fitting import RETRY_AFTER_MS
 from cactuswalk.decisions.longtasks import slots_for_long
 from cactuswalk.decisions.placement import RunningTask, Worker
 from cactuswalk.decisions.queueing import Lane, QueuedJob, TeamQueue
-from cactuswalk.decisions.reservation import Reservation, best_worker, is_due
+from cactuswalk.decisions.reservation import (
+    Reservation,
+    choose_worker_to_reserve,
+    is_reservation_due,
+)
 from cactuswalk.decisions.service import Service
 from cactuswalk.decisions.tasks import Assignment, Shed
 from cactuswalk.model import Refusal, RefusalCode
@@ -69,8 +73,10 @@
     reserved = worker_reserved_for_others(state, queued)
     choice = placement.choose_worker(group, queued.job, *needs, reserved)
     if choice is None:
-        if state.reservation is None and is_due(queued, state.durations.mean, now):
-            worker = best_worker(group, *needs)
+        if state.reservation is None and is_reservation_due(
+            queued, state.durations.mean, now
+        ):
+            worker = choose_worker_to_reserve(group, *needs)
             if worker is not None:
                 state.reservation = Reservation(worker, lane, queued, index)
         return None
@@ -92,7 +98,7 @@
     reservation = state.reservation
     if reservation is None:
         return None
-    if not reservation.holds:
+    if not reservation.is_valid:
         state.reservation = None
         return None
     return None if reservation.queued is queued else reservation.worker
@@ -120,7 +126,7 @@
     waiting = [lane.peek_task(queued) for lane in queued.pending]
     if any(cell.slots_for(job, job.tasks[index]) == 0 for index in waiting):
         message = f"no worker of {job.service} that can run it was available"
-        return Refusal(RefusalCode.NO_WORKER_NOW, message, RETRY_MS)
+        return Refusal(RefusalCode.NO_WORKER_NOW, message, RETRY_AFTER_MS)
     state = cell.service(job.service)
     drain_ms = int(state.queued_seconds / group.slots * 1000)
     waited = now - queued.queued_at
--- a/src/cactuswalk/decisions/callbudget.py
+++ b/src/cactuswalk/decisions/callbudget.py
@@ -56,13 +56,13 @@
 
     def remaining(self, cost: float, now: float) -> float:
         """Return the seconds until ``cost`` tokens are available, 0 if they are now."""
-        self._fill(now)
+        self._refill(now)
         missing = cost - self.tokens
         return missing / self.rate if missing > ROUNDING_TOKENS else 0.0
 
     def spend(self, cost: float, now: float) -> None:
         """Spend tokens on a call; check ``remaining`` first."""
-        self._fill(now)
+        self._refill(now)
         self.tokens -= cost
 
     def shrink(self, now: float) -> None:
@@ -72,12 +72,12 @@
         burst in the first second. Tokens for a read and a write stay, so that a pending
         takeover doesn't have to wait for tokens as well.
         """
-        self._fill(now)
+        self._refill(now)
         self.tokens = min(self.tokens, READ_COST + WRITE_COST)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if self.filled_at is None:
             self.tokens, self.filled_at = self.burst, now
-        gained = (now - self.filled_at) * self.rate
-        self.tokens = min(self.burst, self.tokens + gained)
+        added = (now - self.filled_at) * self.rate
+        self.tokens = min(self.burst, self.tokens + added)
         self.filled_at = now
--- a/src/cactuswalk/decisions/cellstate.py
+++ b/src/cactuswalk/decisions/cellstate.py
@@ -63,31 +63,31 @@
         It is 0 for most jobs, which need no memory or accelerators.
         """
         constrained: dict[Lane, TaskSpec] = {}
-        own: dict[Lane, float] = {}
+        job_seconds: dict[Lane, float] = {}
         for spec, lane, seconds in zip(
             queued.job.tasks, queued.lanes, queued.expected, strict=True
         ):
             if spec.memory_mb or spec.accelerators:
                 constrained[lane] = spec
-                own[lane] = own.get(lane, 0.0) + seconds
+                job_seconds[lane] = job_seconds.get(lane, 0.0) + seconds
         waits = [0.0]
         for lane, spec in constrained.items():
             slots = self.slots_for(queued.job, spec)
-            work = lane.queued_seconds + own[lane]
-            if lane.queued + len(own) > slots:
+            work = lane.queued_seconds + job_seconds[lane]
+            if lane.queued + len(job_seconds) > slots:
                 waits.append(work / max(1, slots))
         return max(waits)
 
     def withdraw(self, queued: QueuedJob) -> list[int]:
         """Remove all queued tasks of a job from their lanes; return their indexes."""
         state = self.service(queued.job.service)
-        taken = []
+        removed = []
         for lane in list(queued.pending):
             indexes = lane.clear(queued)
             state.record_removal(queued, lane, indexes)
-            taken.extend(indexes)
+            removed.extend(indexes)
         self.forget_if_done(queued)
-        return sorted(taken)
+        return sorted(removed)
 
     def forget_if_done(self, queued: QueuedJob) -> None:
         """Delete the record of a job that has nothing queued and nothing running."""
--- a/src/cactuswalk/decisions/damping.py
+++ b/src/cactuswalk/decisions/damping.py
@@ -17,8 +17,9 @@
 
 __all__ = ["FlapDamping"]
 
-# The third death within a minute or two suppresses a worker. On an ordinary day 85 of
-# the planned 8,300 hosts fail, so two deaths in this time are not a coincidence.
+# With these values the third death within a minute or two suppresses a worker. On an
+# ordinary day 85 of the planned 8,300 hosts fail, so two deaths in this time are not a
+# coincidence.
 HALF_LIFE_SECONDS = 60.0
 SUPPRESS_ABOVE = 2.0
 REUSE_AT = 1.0
--- a/src/cactuswalk/decisions/ejection.py
+++ b/src/cactuswalk/decisions/ejection.py
@@ -231,9 +231,10 @@
 
 
 def failures_to_eject(peer_failure_rate: float) -> int:
-    """Return how many consecutive failures are not explained by chance.
+    """Return how many consecutive failures are too many to be due to chance.
 
-    :param peer_failure_rate: failure rate that chance alone would give.
+    :param peer_failure_rate: failure rate of the other workers, assumed as the worker's
+        own by chance.
     """
     rate = min(MAX_PEER_FAILURE_RATE, max(1e-3, peer_failure_rate))
     by_chance = math.ceil(math.log(MAX_CHANCE_PROBABILITY) / math.log(rate))
--- a/src/cactuswalk/decisions/estimation.py
+++ b/src/cactuswalk/decisions/estimation.py
@@ -42,7 +42,7 @@
 
 
 # For a queue whose tasks are all of one kind: run times and declarations vary by some
-# 40%, and a declaration predicts half of a task's own deviation.
+# 40%, and a declaration explains half of a task's own deviation.
 UNIFORM_VARIANCE = 0.16
 UNIFORM_COVARIANCE = 0.08
 
@@ -69,8 +69,8 @@
         """Return the initial estimate for a queue whose tasks are of one kind.
 
         The first declaration is the best available estimate. Without it a process that
-        has just started would take tasks of 1.8 s for tasks of 0.4 s, and refuse them
-        only when they could not finish in time any more.
+        has just started would predict 0.4 s for tasks of 1.8 s, and would refuse them
+        only when even a task of 0.4 s could not finish in time.
         """
         if declared_ms <= 0:
             return cls()
--- a/src/cactuswalk/decisions/fairness.py
+++ b/src/cactuswalk/decisions/fairness.py
@@ -95,8 +95,8 @@
 
     def record_drain(self, seconds: float, now: float) -> None:
         """Add slot seconds that were started; earlier ones decay exponentially."""
-        faded = math.exp(-(now - self.drained_at) / DRAIN_SECONDS)
-        self.drained = self.drained * faded + seconds
+        decay = math.exp(-(now - self.drained_at) / DRAIN_SECONDS)
+        self.drained = self.drained * decay + seconds
         self.drained_at = now
 
     def drain_rate(self, now: float) -> float | None:
@@ -107,24 +107,26 @@
         waited = now - self.waiting_since
         if self.queued == 0 or waited < DRAIN_SECONDS:
             return None
-        faded = math.exp(-(now - self.drained_at) / DRAIN_SECONDS)
-        seen = 1 - math.exp(-waited / DRAIN_SECONDS)
-        return self.drained * faded / (DRAIN_SECONDS * seen)
+        decay = math.exp(-(now - self.drained_at) / DRAIN_SECONDS)
+        observed_part = 1 - math.exp(-waited / DRAIN_SECONDS)
+        return self.drained * decay / (DRAIN_SECONDS * observed_part)
 
     def charge(self, seconds: float) -> None:
         """Charge for a task that starts, and apply the pending correction."""
-        paid = (seconds + self.correction) / self.quota.weight
-        self.virtual_time = max(0.0, self.virtual_time + paid)
+        cost = (seconds + self.correction) / self.quota.weight
+        self.virtual_time = max(0.0, self.virtual_time + cost)
         self.correction = 0.0
 
 
 class ShareTree:
     """The shares of one service's teams, or of one team's callers.
 
+    ``field`` is the current virtual time: the highest level served so far, in slot
+    seconds.
+
     :param step: see ``Share.level``, in slot seconds.
-    :param head_start: steps below the current virtual time (``field``) at which a newly
-        active share starts; it is limited, so that idle time can't be saved up for a
-        flood.
+    :param head_start: steps below the current virtual time at which a newly active
+        share starts; it is limited, so that idle time can't be saved up for a flood.
     """
 
     __slots__ = (
@@ -176,7 +178,7 @@
     def enqueue(self, share: Share, tasks: int, seconds: float, now: float) -> None:
         """Count queued tasks.
 
-        A newly active share starts at the current virtual time.
+        A newly active share starts at the current virtual time, minus the head start.
         """
         if share.queued == 0:
             self.shares.setdefault(share.name, share)
--- a/src/cactuswalk/decisions/fitting.py
+++ b/src/cactuswalk/decisions/fitting.py
@@ -28,11 +28,11 @@
 
 # A worker that left within this time may return: each of the 1,100 restarts and
 # replacements a day finishes well within the hour.
-REMEMBER_SECONDS = 3600.0
+DEPARTED_TTL_SECONDS = 3600.0
 MAX_DEPARTED = 256
 
 # A restarted worker announces itself about a second after its start.
-RETRY_MS = 1000
+RETRY_AFTER_MS = 1000
 
 
 class DepartedWorkers(msgspec.Struct):
@@ -48,8 +48,8 @@
             del self.workers[next(iter(self.workers))]
 
     def recent(self, now: float) -> list[Announcement]:
-        """Return the workers that left within REMEMBER_SECONDS."""
-        oldest = now - REMEMBER_SECONDS
+        """Return the workers that left within DEPARTED_TTL_SECONDS."""
+        oldest = now - DEPARTED_TTL_SECONDS
         return [entry for entry, left in self.workers.values() if left >= oldest]
 
 
@@ -70,7 +70,7 @@
     return ""
 
 
-def largest(tasks: list[TaskSpec]) -> TaskSpec:
+def largest_needs(tasks: list[TaskSpec]) -> TaskSpec:
     """Return a spec with the largest value of each resource of these tasks."""
     memory_mb = max(task.memory_mb for task in tasks)
     accelerators = max(task.accelerators for task in tasks)
@@ -97,19 +97,19 @@
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
             f"no worker of {job.service} is available now",
-            RETRY_MS,
+            RETRY_AFTER_MS,
         )
     ready = [entry for entry in here if entry.ready]
-    if any(not misfit_reason(entry, job, largest(job.tasks)) for entry in ready):
+    if any(not misfit_reason(entry, job, largest_needs(job.tasks)) for entry in ready):
         return None
-    for spec in distinct(job.tasks):
+    for spec in distinct_sizes(job.tasks):
         if any(not misfit_reason(entry, job, spec) for entry in ready):
             continue
         return misfit_refusal(job, spec, here, departed_here)
     return None
 
 
-def distinct(tasks: list[TaskSpec]) -> list[TaskSpec]:
+def distinct_sizes(tasks: list[TaskSpec]) -> list[TaskSpec]:
     """Return one task of each size."""
     sizes = {(task.memory_mb, task.accelerators): task for task in tasks}
     return list(sizes.values())
@@ -126,7 +126,7 @@
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
             f"the workers of {job.service} that could run it are unavailable",
-            RETRY_MS,
+            RETRY_AFTER_MS,
         )
     reason = misfit_reason(here[0], job, spec)
     return Refusal(
--- a/src/cactuswalk/decisions/guard.py
+++ b/src/cactuswalk/decisions/guard.py
@@ -78,11 +78,11 @@
     actions = {usage.name: GuardAction.THROTTLE for usage in oversized}
     if pressure < CHECKPOINT_ABOVE:
         return actions
-    worst = choose_target(oversized, fair_mb)
-    if worst.checkpoints:
-        actions[worst.name] = GuardAction.CHECKPOINT
+    target = choose_target(oversized, fair_mb)
+    if target.checkpoints:
+        actions[target.name] = GuardAction.CHECKPOINT
     elif pressure >= STOP_ABOVE:
-        actions[worst.name] = GuardAction.STOP
+        actions[target.name] = GuardAction.STOP
     return actions
 
 
@@ -93,14 +93,14 @@
     preferred to one that can be repeated, and that to others. A small task is not
     stopped only because it can be repeated, since that would free little memory.
     """
-    most = max(usage.excess_mb(fair_mb) for usage in oversized)
-    far = [
+    max_excess_mb = max(usage.excess_mb(fair_mb) for usage in oversized)
+    candidates = [
         usage
         for usage in oversized
-        if usage.excess_mb(fair_mb) >= MIN_EXCESS_PART * most
+        if usage.excess_mb(fair_mb) >= MIN_EXCESS_PART * max_excess_mb
     ]
     return max(
-        far,
+        candidates,
         key=lambda usage: (
             usage.checkpoints,
             usage.repeatable,
--- a/src/cactuswalk/decisions/hedging.py
+++ b/src/cactuswalk/decisions/hedging.py
@@ -19,11 +19,11 @@
 
 # Step of the percentile estimate on a logarithmic scale: 5% per task, so that it
 # follows a doubling of run times within some 300 tasks.
-STEP = 0.05
+LOG_STEP = 0.05
 
 # A request that was expected to take long is a straggler only after this many times its
 # expected run time.
-TIMES_EXPECTED = 2.0
+MIN_STRAGGLER_RATIO = 2.0
 
 
 class HighPercentile(msgspec.Struct):
@@ -34,7 +34,7 @@
     def observe(self, seconds: float) -> None:
         """Move the estimate so that 5% of run times are above it."""
         below = 1.0 if seconds <= self.seconds else 0.0
-        self.seconds *= math.exp(STEP * (HEDGE_PERCENTILE - below))
+        self.seconds *= math.exp(LOG_STEP * (HEDGE_PERCENTILE - below))
 
 
 def is_straggler(elapsed: float, expected: float, high: float) -> bool:
@@ -44,4 +44,4 @@
     :param expected: expected run time, in seconds.
     :param high: high percentile of run times, in seconds.
     """
-    return elapsed > max(high, TIMES_EXPECTED * expected)
+    return elapsed > max(high, MIN_STRAGGLER_RATIO * expected)
--- a/src/cactuswalk/decisions/leaving.py
+++ b/src/cactuswalk/decisions/leaving.py
@@ -14,15 +14,15 @@
 # If no submission arrives for this long, the balancer has reacted to the readiness
 # answer. At one request a second per entry, one in three such spans would be quiet by
 # chance; so the balancer must have been told first.
-QUIET_SECONDS = 1.0
+MIN_QUIET_SECONDS = 1.0
 # A balancer that still sends after this time doesn't check readiness at all. Less than
 # the 30 s that supervisors commonly wait beyond the longest deadline.
 MAX_DRAIN_SECONDS = 20.0
 # A client that got this many positive readiness answers, and checked within
-# ASKED_WITHIN_SECONDS before the stop, is a balancer and will check again. A client
+# RECENT_CHECK_SECONDS before the stop, is a balancer and will check again. A client
 # that only waited for the entry's start got one positive answer.
 MIN_READY_ANSWERS = 3
-ASKED_WITHIN_SECONDS = 10.0
+RECENT_CHECK_SECONDS = 10.0
 
 
 class EntryShutdown:
@@ -63,8 +63,8 @@
             return True
         if self.told_at < self.began_at and self._expects_readiness_check():
             return False
-        return now - max(self.taken_at, self.told_at) >= QUIET_SECONDS
+        return now - max(self.taken_at, self.told_at) >= MIN_QUIET_SECONDS
 
     def _expects_readiness_check(self) -> bool:
-        lately = self.began_at - self.asked_at <= ASKED_WITHIN_SECONDS
-        return lately and self.times_ready >= MIN_READY_ANSWERS
+        checked_recently = self.began_at - self.asked_at <= RECENT_CHECK_SECONDS
+        return checked_recently and self.times_ready >= MIN_READY_ANSWERS
--- a/src/cactuswalk/decisions/longtasks.py
+++ b/src/cactuswalk/decisions/longtasks.py
@@ -13,7 +13,7 @@
 
 # A task is long if it takes this many times the mean of its service: "a few last
 # several seconds" against a mean near 0.3 s.
-TIMES_MEAN = 4.0
+MIN_LONG_RATIO = 4.0
 
 # Long tasks leave free the average number of slots that short tasks use plus a quarter
 # for fluctuations, and at least RESERVED_PART of all slots for the first short tasks
@@ -22,7 +22,7 @@
 RESERVED_PART = 1 / 12
 
 # Part of the slots that is always open to long tasks.
-LONG_PART = 0.5
+MIN_LONG_PART = 0.5
 
 # Weight of one sample of the running short tasks. At ten samples a second the average
 # covers two seconds.
@@ -31,7 +31,7 @@
 
 def is_long(expected: float, mean: float) -> bool:
     """Return whether a task is expected to hold its slot for long."""
-    return expected > TIMES_MEAN * mean
+    return expected > MIN_LONG_RATIO * mean
 
 
 def update_short_average(average: float, running: int) -> float:
@@ -45,4 +45,4 @@
     :param short: average number of slots that short tasks use.
     """
     reserved = max(slots * RESERVED_PART, HEADROOM * short)
-    return max(1, int(slots * LONG_PART), int(slots - reserved))
+    return max(1, int(slots * MIN_LONG_PART), int(slots - reserved))
--- a/src/cactuswalk/decisions/placement.py
+++ b/src/cactuswalk/decisions/placement.py
@@ -171,8 +171,8 @@
         known = self.workers.get(announcement.worker)
         if known is not None:
             self.detach(known)
-        place = (announcement.service, announcement.rack)
-        rack = self.racks.setdefault(place, Rack())
+        rack_key = (announcement.service, announcement.rack)
+        rack = self.racks.setdefault(rack_key, Rack())
         if known is None:
             labels = worker_labels(announcement)
             known = Worker(announcement, labels, usable, rack)
@@ -292,8 +292,8 @@
     ]
     if not candidates:
         return None
-    harmless = job.request and job.idempotent
-    if harmless:
+    can_try_unhealthy = job.request and job.idempotent
+    if can_try_unhealthy:
         for worker in candidates:
             if worker.health.is_on_trial and not worker.running:
                 return Choice(worker, "trial of a returning worker")
--- a/src/cactuswalk/decisions/queueing.py
+++ b/src/cactuswalk/decisions/queueing.py
@@ -3,7 +3,7 @@
 Load pattern: work for a few special workers (accelerators, one rack) among work that
 any worker can do. In a single queue the first task that waits for a special worker
 would block all tasks behind it, or each free slot would require a search of the whole
-queue. All tasks of a lane fit the same workers, so only the first one has to be
+queue. A worker treats all tasks of a lane alike, so only the first one has to be
 checked.
 
 Cancelling a job costs time in proportion to its own tasks: its tasks are removed, and
--- a/src/cactuswalk/decisions/reservation.py
+++ b/src/cactuswalk/decisions/reservation.py
@@ -14,11 +14,11 @@
 from cactuswalk.decisions.placement import Group, Worker
 from cactuswalk.decisions.queueing import Lane, QueuedJob
 
-__all__ = ["Reservation", "best_worker", "is_due"]
+__all__ = ["Reservation", "choose_worker_to_reserve", "is_reservation_due"]
 
 # After this many mean run times without room, waiting is no coincidence: all tasks that
 # ran at the start of the wait have ended, except for the longest.
-RUN_TIMES_WITHOUT_ROOM = 4.0
+MAX_RUN_TIMES_WITHOUT_ROOM = 4.0
 
 
 class Reservation(msgspec.Struct, eq=False):
@@ -30,18 +30,20 @@
     index: int
 
     @property
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether the task still waits and the worker can still take it."""
         waiting = self.queued.pending.get(self.lane, ())
         return self.index in waiting and self.worker.usable_slots > 0
 
 
-def is_due(queued: QueuedJob, mean: float, now: float) -> bool:
-    """Return whether a task that finds no room has waited long enough."""
-    return now - queued.queued_at > RUN_TIMES_WITHOUT_ROOM * mean
+def is_reservation_due(queued: QueuedJob, mean: float, now: float) -> bool:
+    """Return whether a task without room has waited long enough for a reservation."""
+    return now - queued.queued_at > MAX_RUN_TIMES_WITHOUT_ROOM * mean
 
 
-def best_worker(group: Group, memory_mb: float, accelerators: int) -> Worker | None:
+def choose_worker_to_reserve(
+    group: Group, memory_mb: float, accelerators: int
+) -> Worker | None:
     """Return the worker with the most free memory, None if none is large enough."""
     large_enough = [
         worker
--- a/src/cactuswalk/decisions/scheduler.py
+++ b/src/cactuswalk/decisions/scheduler.py
@@ -20,7 +20,7 @@
 from cactuswalk.decisions.fairness import MIN_WEIGHT, Quota
 from cactuswalk.decisions.fitting import check_fit
 from cactuswalk.decisions.guard import GuardAction, Usage, choose_guard_actions
-from cactuswalk.decisions.joborder import JobOrder, by_patience
+from cactuswalk.decisions.joborder import JobOrder, by_tolerable_delay
 from cactuswalk.decisions.placement import Worker
 from cactuswalk.decisions.queueing import Lane
 from cactuswalk.decisions.secondattempts import start_hedges
@@ -47,7 +47,7 @@
     def __init__(
         self,
         generator: random.Random | None = None,
-        order: JobOrder = by_patience,
+        order: JobOrder = by_tolerable_delay,
     ) -> None:
         self.generator = generator or random.Random(DEFAULT_SEED)
         self.cell = CellState(order)
@@ -84,7 +84,7 @@
         if self.cell.peer_health(worker, now).ejected_part <= MAX_EJECTED_PART:
             worker.health.ejected_until = until
 
-    def worker_died(self, worker: str, now: float) -> None:
+    def record_worker_death(self, worker: str, now: float) -> None:
         """Record that a worker has died without a planned stop."""
         self.damping.record_death(worker, now)
 
@@ -119,7 +119,7 @@
         for lane in state.lanes.values():
             lane.unpark(team)
 
-    def usage_report(
+    def process_usage_report(
         self, worker: str, usages: list[Usage], now: float
     ) -> dict[str, GuardAction]:
         """Process a delayed usage report of a worker; return the guard's actions."""
@@ -205,7 +205,7 @@
             known.inherited.add((submission, index))
             self.cell.refresh_capacity(known, now)
 
-    def finished(
+    def record_result(
         self,
         submission: str,
         index: int,
@@ -276,12 +276,12 @@
             return False
         return self.cell.service(task.job.service).retries.spend()
 
-    def hedges(
+    def start_hedges(
         self, now: float, services: frozenset[str] | None = None
     ) -> list[Assignment]:
         """Start and return hedges of stragglers, on idle slots and within the budget.
 
-        The owner takes the first answer. Each attempt ends with a call of ``finished``.
+        The owner takes the first answer. Each attempt ends with ``record_result``.
 
         :param services: services to hedge; None for all.
         """
@@ -289,7 +289,7 @@
 
     # Reports.
 
-    def free_slots(self) -> dict[str, int]:
+    def count_free_slots(self) -> dict[str, int]:
         """Return the number of free slots per service."""
         free: dict[str, int] = {}
         for worker in self.cell.pool.workers.values():
@@ -297,7 +297,7 @@
             free[service] = free.get(service, 0) + worker.free
         return free
 
-    def queued(self) -> dict[str, int]:
+    def count_queued(self) -> dict[str, int]:
         """Return the number of queued tasks per service."""
         return {
             name: state.queued
--- a/src/cactuswalk/decisions/secondattempts.py
+++ b/src/cactuswalk/decisions/secondattempts.py
@@ -15,7 +15,8 @@
 ) -> list[Assignment]:
     """Start and return hedges of stragglers, on idle slots and within the budget.
 
-    The owner takes the first answer. Each attempt ends with a call of ``finished``.
+    The owner takes the first answer. Each attempt ends with
+    ``Scheduler.record_result``.
 
     :param services: services to hedge; None for all.
     """
--- a/src/cactuswalk/decisions/sharing.py
+++ b/src/cactuswalk/decisions/sharing.py
@@ -5,8 +5,9 @@
 idle beside a full one, and an emptied cell would refuse its share of the requests
 permanently.
 
-Two cells at a time balance their slots, in proportion to their worker slots; no node
-has to know all cells.
+A holding is a range of a service's slots that a cell answers for, limited to keys whose
+birth time is in the holding's interval. Two cells at a time balance their holdings in
+proportion to their worker slots; no node has to know all cells.
 """
 
 import msgspec
@@ -56,8 +57,10 @@
     :param latest_ms: the latest birth of a key that was accepted here.
     :param ahead_ms: how far ahead of this clock a key may be born.
     """
-    began = [one.since_ms for one in holdings if one.service == service]
-    return max(int(wall_ms) + ahead_ms, latest_ms + 1, *(at + 1 for at in began))
+    started_ms = [
+        holding.since_ms for holding in holdings if holding.service == service
+    ]
+    return max(int(wall_ms) + ahead_ms, latest_ms + 1, *(at + 1 for at in started_ms))
 
 
 def cede(
@@ -65,46 +68,62 @@
 ) -> list[Holding]:
     """Return the holdings after ceding slots for keys born from a time on.
 
-    Whole holdings are ceded first and only the last one in part, so that there are few.
+    Whole holdings are ceded before part of one, which keeps the list short.
+
+    :param to: the cell that gets the slots.
+    :param count: number of slots to cede.
+    :param from_ms: birth time from which keys belong to that cell.
     """
-    serial = 1 + max((one.serial for one in holdings), default=0)
-    found: list[Holding] = []
-    for one in reversed(holdings):
-        width = one.last - one.first + 1
-        if one.service != service or one.until_ms or count <= 0:
-            found.append(one)
+    serial = 1 + max((holding.serial for holding in holdings), default=0)
+    result: list[Holding] = []
+    for holding in reversed(holdings):
+        slot_count = holding.last - holding.first + 1
+        if holding.service != service or holding.until_ms or count <= 0:
+            result.append(holding)
             continue
-        given = min(width, count)
-        count -= given
-        border = one.last - given + 1
-        found.append(
+        ceded_count = min(slot_count, count)
+        count -= ceded_count
+        first_ceded = holding.last - ceded_count + 1
+        result.append(
             msgspec.structs.replace(
-                one, first=border, until_ms=from_ms, to=to, serial=serial
+                holding, first=first_ceded, until_ms=from_ms, to=to, serial=serial
             )
         )
-        if given < width:
-            found.append(msgspec.structs.replace(one, last=border - 1))
-    return found[::-1]
+        if ceded_count < slot_count:
+            result.append(msgspec.structs.replace(holding, last=first_ceded - 1))
+    return result[::-1]
 
 
 def retire(holdings: list[Holding], to: str, from_ms: int) -> list[Holding]:
     """Return the holdings of a cell that is gone for good: all ceded to another."""
-    services = {one.service for one in holdings}
+    services = {holding.service for holding in holdings}
     for service in sorted(services):
-        count = sum(one.last - one.first + 1 for one in holdings)
-        begun = [one.since_ms + 1 for one in holdings if one.service == service]
-        holdings = cede(holdings, service, to, count, max(from_ms, *begun))
+        count = sum(holding.last - holding.first + 1 for holding in holdings)
+        starts_ms = [
+            holding.since_ms + 1 for holding in holdings if holding.service == service
+        ]
+        holdings = cede(holdings, service, to, count, max(from_ms, *starts_ms))
     return holdings
 
 
 def take(
     holdings: list[Holding], source: str, ceded: list[Holding], after: int
 ) -> list[Holding]:
-    """Return the holdings after accepting the cessions with a later serial."""
+    """Return the holdings after accepting the cessions with a later serial.
+
+    :param source: the cell that ceded them.
+    :param after: serial of the last accepted cession of that cell.
+    """
     return holdings + [
-        Holding(one.service, one.first, one.last, one.until_ms, source=source)
-        for one in ceded
-        if one.serial > after
+        Holding(
+            holding.service,
+            holding.first,
+            holding.last,
+            holding.until_ms,
+            source=source,
+        )
+        for holding in ceded
+        if holding.serial > after
     ]
 
 
@@ -114,18 +133,19 @@
     The latest one of its slots is kept, so that entries can be redirected from here.
     """
     return [
-        one
-        for one in holdings
-        if not one.until_ms
-        or one.until_ms > before_ms
-        or not any(_follows(other, one) for other in holdings)
+        holding
+        for holding in holdings
+        if not holding.until_ms
+        or holding.until_ms > before_ms
+        or not any(_supersedes(other, holding) for other in holdings)
     ]
 
 
-def _follows(other: Holding, one: Holding) -> bool:
+def _supersedes(other: Holding, holding: Holding) -> bool:
+    """Return whether another holding covers the same slots at a later time."""
     return (
-        other.service == one.service
-        and other.since_ms >= one.until_ms
-        and other.first <= one.first
-        and other.last >= one.last
+        other.service == holding.service
+        and other.since_ms >= holding.until_ms
+        and other.first <= holding.first
+        and other.last >= holding.last
     )
--- a/src/cactuswalk/state/attempts.py
+++ b/src/cactuswalk/state/attempts.py
@@ -83,13 +83,13 @@
     """
     if not state.hedged_services:
         return
-    for assignment in state.scheduler.hedges(now, state.hedged_services):
+    for assignment in state.scheduler.start_hedges(now, state.hedged_services):
         queued = assignment.task
         tracked = state.ledger.get(queued.job.submission)
         peer = state.peer_of(assignment.worker)
         name = (queued.job.submission, queued.index)
         if tracked is None or tracked.answer is not None or tracked.ending is not None:
-            state.scheduler.finished(*name, assignment.worker, False, 0, now)
+            state.scheduler.record_result(*name, assignment.worker, False, 0, now)
             continue
         place = Place(
             assignment.worker,
--- a/src/cactuswalk/state/ending.py
+++ b/src/cactuswalk/state/ending.py
@@ -32,7 +32,9 @@
         if task.stage in (Stage.QUEUED, Stage.WITNESSING):
             if task.place is not None:
                 land(state, task.place.incarnation, name, index)
-                state.scheduler.finished(name, index, task.place.worker, False, 0, now)
+                state.scheduler.record_result(
+                    name, index, task.place.worker, False, 0, now
+                )
             reason = "it was not started"
             end_task(tracked, TaskResult(index, TaskOutcome.NOT_RUN, reason=reason))
         elif task.stage is Stage.SENT:
--- a/src/cactuswalk/state/flights.py
+++ b/src/cactuswalk/state/flights.py
@@ -30,7 +30,7 @@
     place = (message.submission, message.index)
     flight = land(state, message.incarnation, *place, message.attempt)
     if flight is not None:
-        state.scheduler.finished(
+        state.scheduler.record_result(
             *place,
             flight.worker,
             message.result.outcome is TaskOutcome.DONE,
@@ -96,10 +96,10 @@
         or not attempts.is_current(tracked.tasks[message.index], *lives)
         or attempts.fall_back(tracked.tasks[message.index], *lives)
     ):
-        state.scheduler.finished(*place, flight.worker, False, 0, now)
+        state.scheduler.record_result(*place, flight.worker, False, 0, now)
         return
     if tracked.ending is not None:
-        state.scheduler.finished(*place, flight.worker, False, 0, now)
+        state.scheduler.record_result(*place, flight.worker, False, 0, now)
         result = TaskResult(
             message.index, TaskOutcome.NOT_RUN, reason="it was not started"
         )
@@ -121,7 +121,7 @@
     """Settle what was placed at a member that is gone: nobody can tell of it."""
     for submission, index in list(peer.flights):
         flight = peer.flights.pop((submission, index))
-        state.scheduler.finished(submission, index, flight.worker, False, 0, now)
+        state.scheduler.record_result(submission, index, flight.worker, False, 0, now)
         tracked = state.ledger.get(submission)
         if tracked is None or tracked.answer is not None:
             continue
--- a/src/cactuswalk/state/roster.py
+++ b/src/cactuswalk/state/roster.py
@@ -250,7 +250,7 @@
     """Tell a worker that has died from one that was silent and is back."""
     earlier = state.left.pop(member.worker, member.incarnation)
     if earlier != member.incarnation:
-        state.scheduler.worker_died(member.worker, now)
+        state.scheduler.record_worker_death(member.worker, now)
         state.count("worker.died")
 
 
--- a/tools/mutants_cells.py
+++ b/tools/mutants_cells.py
@@ -39,14 +39,14 @@
     Mutant(
         "a cession is taken as often as it is told",
         "src/cactuswalk/decisions/sharing.py",
-        "        if one.serial > after\n",
+        "        if holding.serial > after\n",
         "",
         CELLS,
     ),
     Mutant(
         "a cession may begin before its holding",
         "src/cactuswalk/decisions/sharing.py",
-        ", *(at + 1 for at in began))",
+        ", *(at + 1 for at in started_ms))",
         ")",
         CELLS,
     ),
@@ -103,7 +103,8 @@
     Mutant(
         "a retired cell's slots are left to nobody",
         "src/cactuswalk/decisions/sharing.py",
-        "        holdings = cede(holdings, service, to, count, max(from_ms, *begun))\n",
+        "        holdings = cede(holdings, service, to, count, "
+        "max(from_ms, *starts_ms))\n",
         "        pass\n",
         CELLS,
     ),
--- a/tools/policies_cost.py
+++ b/tools/policies_cost.py
@@ -72,7 +72,7 @@
         ended = self.running.pop()
         self.now += 0.001
         task = ended.task
-        self.scheduler.finished(
+        self.scheduler.record_result(
             task.job.submission, task.index, ended.worker, True, 300, self.now
         )
         self.assign()
--- a/tools/policies_faults.py
+++ b/tools/policies_faults.py
@@ -138,7 +138,7 @@
     def tick(self) -> None:
         """Ask for second attempts as well, where the run is to have them."""
         if self.hedging:
-            for decision in self.scheduler.hedges(self.now):
+            for decision in self.scheduler.start_hedges(self.now):
                 progress = self.known[decision.task.job.submission]
                 self.hedged += 1
                 self.at(self.now + HOP, self.start, progress, decision)
@@ -170,7 +170,7 @@
         """Take a failure at the owner: the job fails as a whole."""
         task = decision.task
         elapsed_ms = int((self.now - began) * 1000)
-        self.scheduler.finished(
+        self.scheduler.record_result(
             task.job.submission,
             task.index,
             decision.worker,
--- a/tools/policies_late.py
+++ b/tools/policies_late.py
@@ -2,7 +2,7 @@
 
 import random
 
-from cactuswalk.decisions.joborder import JobOrder, by_patience
+from cactuswalk.decisions.joborder import JobOrder, by_tolerable_delay
 from cactuswalk.decisions.scheduler import Scheduler
 from cactuswalk.decisions.tasks import Assignment, Shed
 from cactuswalk.model import Announcement, Capacity, Job, TaskSpec
@@ -56,7 +56,7 @@
     """The owner queues all tasks of its cell and binds each to a free slot."""
 
     name = "late binding"
-    order: JobOrder = staticmethod(by_patience)
+    order: JobOrder = staticmethod(by_tolerable_delay)
 
     def __init__(self, deployment: Deployment, seconds: float, seed: int) -> None:
         super().__init__(deployment, seconds, seed)
@@ -131,7 +131,7 @@
         """Take a result at the owner."""
         task = decision.task
         elapsed_ms = int((self.now - HOP - began) * 1000)
-        self.scheduler.finished(
+        self.scheduler.record_result(
             task.job.submission,
             task.index,
             decision.worker,
--- a/tools/policies_plain.py
+++ b/tools/policies_plain.py
@@ -66,7 +66,7 @@
         """Return the free slots of a worker."""
         return self.workers[worker].capacity.slots - len(self.running[worker])
 
-    def finished(
+    def record_result(
         self,
         submission: str,
         index: int,
--- a/tools/slopes_cell.py
+++ b/tools/slopes_cell.py
@@ -256,7 +256,7 @@
         job = bag.job(duration_ms=600_000)
         bag.submit("entry-0", job, remaining_ms=3_600_000, minted=True)
     bag.run(0.5)
-    held = sum(bag.owner().state.owner.scheduler.queued().values())
+    held = sum(bag.owner().state.owner.scheduler.count_queued().values())
     point.count("queued", held)
     point.time("tick ms", tick_time(bag))
     return point
--- a/tools/slopes_scheduler.py
+++ b/tools/slopes_scheduler.py
@@ -67,7 +67,9 @@
         now += TASK_MS / 1000
         for one in assigned:
             job, index = one.task.job, one.task.index
-            scheduler.finished(job.submission, index, one.worker, True, TASK_MS, now)
+            scheduler.record_result(
+                job.submission, index, one.worker, True, TASK_MS, now
+            )
         fill(scheduler, len(assigned), teams, f"again-{started}")
         started += len(assigned)
     return started
