--- a/features/steps/dispatch_explaining_steps.py
+++ b/features/steps/dispatch_explaining_steps.py
@@ -74,7 +74,7 @@
 @then("no write has waited")
 def step_no_wait(context):
     assert context.longest < 0.5, context.longest
-    assert context.log.left_out > 0
+    assert context.log.dropped_lines > 0
 
 
 @when("the pipe is read again and another line is written")
@@ -87,7 +87,7 @@
 @then("the log says how many lines were left out")
 def step_left_out(context):
     text = os.read(context.reading, 1 << 20).decode()
-    assert "process: lines were left out" in text, text[-500:]
+    assert "process: log lines were dropped" in text, text[-500:]
 
 
 @given("settings of a dispatch entry without a store and with a wrong address")
--- a/src/cactuswalk/runtime/agent.py
+++ b/src/cactuswalk/runtime/agent.py
@@ -8,20 +8,20 @@
 from cactuswalk.http.server import HttpServer
 from cactuswalk.http.upstream import UpstreamClient
 from cactuswalk.model import Member
-from cactuswalk.runtime.host import Host
+from cactuswalk.runtime.process import ProcessRuntime
 from cactuswalk.settings import AgentSettings
 from cactuswalk.state.effects import CallUpstream, SteerUpstream, StopUpstream
 from cactuswalk.state.events import UpstreamOutcome
 from cactuswalk.state.node import Node, handle, new_node
 from cactuswalk.state.timing import Timing
 
-__all__ = ["AgentProcess", "timing_of"]
+__all__ = ["AgentProcess", "make_timing"]
 
 # How long a stop waits for announcements in flight on the loopback.
-FINISH_SECONDS = 1.0
+ANNOUNCEMENT_DRAIN_SECONDS = 1.0
 
 
-def timing_of(settings: AgentSettings) -> Timing:
+def make_timing(settings: AgentSettings) -> Timing:
     """Return the spans of time that settings give, the others by default."""
     return Timing(
         confirm=settings.confirm_period_ms / 1000,
@@ -35,17 +35,17 @@
 
     def __init__(self, settings: AgentSettings) -> None:
         self.settings = settings
-        self.host = Host(settings.worker, settings)
+        self.runtime = ProcessRuntime(settings.worker, settings)
         self.node = self._make_node()
-        self.application = self.host.make_application(
+        self.application = self.runtime.make_application(
             lambda event, now: handle(self.node, event, now),
             lambda: self.node.stopped,
         )
-        self.host.attach(self.application, AGENT_RATE, AGENT_BURST)
+        self.runtime.attach(self.application, AGENT_RATE, AGENT_BURST)
         self.upstream = UpstreamClient()
-        self.application.performers[CallUpstream] = self._call
-        self.application.performers[StopUpstream] = self._stop
-        self.application.performers[SteerUpstream] = self._steer
+        self.application.effect_handlers[CallUpstream] = self._call_upstream
+        self.application.effect_handlers[StopUpstream] = self._stop_upstream
+        self.application.effect_handlers[SteerUpstream] = self._steer_upstream
         self._add_hooks()
 
     async def run(self) -> None:
@@ -54,12 +54,12 @@
 
     def _make_node(self) -> Node:
         settings = self.settings
-        member = Member(settings.worker, secrets.token_hex(8), self.host.address)
+        member = Member(settings.worker, secrets.token_hex(8), self.runtime.address)
         return new_node(
             settings.cell,
             member,
-            timing_of(settings),
-            self.host.generator,
+            make_timing(settings),
+            self.runtime.generator,
             settings.retention_bytes,
             time.monotonic(),
             wall_ms=time.time() * 1000 - time.monotonic() * 1000,
@@ -70,16 +70,19 @@
         application = self.application
         server = HttpServer(
             make_announce_application(
-                self.settings, self.upstream, application.feed, self._not_ready
+                self.settings,
+                self.upstream,
+                application.feed,
+                self._list_unready_reasons,
             ),
             self.settings.http,
-            FINISH_SECONDS,
+            ANNOUNCEMENT_DRAIN_SECONDS,
         )
         self.server = server
         application.add_hook(self.upstream.open, self.upstream.close)
         application.add_hook(server.start, server.stop)
 
-    def _not_ready(self) -> list[str]:
+    def _list_unready_reasons(self) -> list[str]:
         reasons = []
         if self.application.stopping:
             reasons.append("this agent is stopping")
@@ -87,23 +90,23 @@
             reasons.append("this agent is not on its cell's roster")
         return reasons
 
-    def _call(self, effect: CallUpstream) -> None:
-        self.application.spawn(self._run_call(effect))
+    def _call_upstream(self, effect: CallUpstream) -> None:
+        self.application.spawn(self._run_upstream_call(effect))
 
-    async def _run_call(self, effect: CallUpstream) -> None:
+    async def _run_upstream_call(self, effect: CallUpstream) -> None:
         event = await self.upstream.call(effect)
         if event.outcome is UpstreamOutcome.ANSWERED:
-            self.host.metrics.timing("agent.upstream", event.elapsed_ms)
+            self.runtime.metrics.timing("agent.upstream", event.elapsed_ms)
         self.application.feed(event)
 
-    def _stop(self, effect: StopUpstream) -> None:
-        self.application.spawn(self._run_stop(effect))
+    def _stop_upstream(self, effect: StopUpstream) -> None:
+        self.application.spawn(self._run_upstream_stop(effect))
 
-    async def _run_stop(self, effect: StopUpstream) -> None:
+    async def _run_upstream_stop(self, effect: StopUpstream) -> None:
         await self.upstream.stop(effect)
 
-    def _steer(self, effect: SteerUpstream) -> None:
-        self.application.spawn(self._run_steer(effect))
+    def _steer_upstream(self, effect: SteerUpstream) -> None:
+        self.application.spawn(self._run_upstream_steer(effect))
 
-    async def _run_steer(self, effect: SteerUpstream) -> None:
+    async def _run_upstream_steer(self, effect: SteerUpstream) -> None:
         await self.upstream.steer(effect)
--- a/src/cactuswalk/runtime/application.py
+++ b/src/cactuswalk/runtime/application.py
@@ -18,7 +18,7 @@
 # The reducers measure their spans in tenths of seconds.
 TICK_SECONDS = 0.05
 # Ticks between two looks for sockets that are spoken to no more.
-IDLE_LOOK_TICKS = 200
+IDLE_CHECK_TICKS = 200
 
 Hook = tuple[Callable[[], Awaitable[None]], Callable[[], Awaitable[None]]]
 
@@ -45,24 +45,24 @@
         is_stopped: Callable[[], bool],
         write_log: Callable[..., None],
         metrics,
-        tick: Callable[[], object],
-        received: Callable[[str, object], object],
-        stop_requested: Callable[[], object],
-        may_leave: Callable[[float], bool] = lambda now: True,
+        make_tick: Callable[[], object],
+        make_received: Callable[[str, object], object],
+        make_stop_requested: Callable[[], object],
+        can_stop: Callable[[float], bool] = lambda now: True,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.clock = clock
-        self.make_tick = tick
-        self.make_received = received
-        self.make_stop_requested = stop_requested
+        self.make_tick = make_tick
+        self.make_received = make_received
+        self.make_stop_requested = make_stop_requested
         self.name = name
         self.reduce = reduce
         self.is_stopped = is_stopped
         self.write_log = write_log
         self.metrics = metrics
-        self.may_leave = may_leave
+        self.can_stop = can_stop
         self.transport = None
-        self.performers: dict[type, Callable] = {
+        self.effect_handlers: dict[type, Callable] = {
             Log: write_log,
             Count: lambda effect: metrics.count(effect.name, effect.by),
             Gauge: lambda effect: metrics.gauge(effect.name, effect.value),
@@ -71,7 +71,7 @@
         self.tasks: set[asyncio.Task] = set()
         self.flush_scheduled = False
         self.stopping = False
-        self.told_to_stop = False
+        self.stop_event_sent = False
         self.failure: BaseException | None = None
         self.ended: asyncio.Event | None = None
         self.loop: asyncio.AbstractEventLoop | None = None
@@ -95,7 +95,7 @@
             self._fail(error)
             return
         for effect in effects:
-            self.performers[type(effect)](effect)
+            self.effect_handlers[type(effect)](effect)
         if self.transport.dirty and not self.flush_scheduled:
             self.flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
@@ -149,12 +149,12 @@
         if not self.loop.is_closed():
             self.loop.call_soon_threadsafe(self.request_stop)
 
-    def _keep_stopping(self) -> bool:
+    def _continue_stop(self) -> bool:
         """Go on with a planned stop; return whether it is complete."""
-        if not self.told_to_stop and self.may_leave(self.clock()):
-            self.told_to_stop = True
+        if not self.stop_event_sent and self.can_stop(self.clock()):
+            self.stop_event_sent = True
             self.feed(self.make_stop_requested())
-        return self.told_to_stop and self.is_stopped()
+        return self.stop_event_sent and self.is_stopped()
 
     async def _tick(self) -> None:
         ticks = 0
@@ -163,9 +163,9 @@
             self.transport.poll()
             self.feed(self.make_tick())
             ticks += 1
-            if ticks % IDLE_LOOK_TICKS == 0:
+            if ticks % IDLE_CHECK_TICKS == 0:
                 self.transport.close_idle(self.clock())
-            if self.stopping and self._keep_stopping():
+            if self.stopping and self._continue_stop():
                 self.ended.set()
                 return
 
--- a/src/cactuswalk/runtime/dispatch.py
+++ b/src/cactuswalk/runtime/dispatch.py
@@ -21,7 +21,7 @@
     message_url,
 )
 
-__all__ = ["DispatchHost", "now"]
+__all__ = ["DispatchRuntime", "read_boottime"]
 
 # How often a connection between processes is tried, where TCP itself would take
 # minutes to tell that it went silent. More often, the tries would be as many as the
@@ -29,7 +29,7 @@
 HEARTBEAT_MS = 500
 
 
-def now() -> float:
+def read_boottime() -> float:
     """Return seconds that go on while the host is suspended.
 
     A host that was suspended must find its leases ended when it wakes; the
@@ -38,7 +38,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class DispatchHost:
+class DispatchRuntime:
     """The parts of a process that its role does not change.
 
     :param reduce: the role's reducer.
@@ -54,9 +54,9 @@
         part: Part,
         reduce: Callable,
         is_stopped: Callable[[], bool],
-        received: Callable,
-        tick: Callable,
-        stop_requested: Callable,
+        make_received: Callable,
+        make_tick: Callable,
+        make_stop_requested: Callable,
     ) -> None:
         self.settings = settings
         self.part = part
@@ -70,10 +70,10 @@
             is_stopped,
             self._write_log,
             self.metrics,
-            clock=now,
-            tick=tick,
-            received=received,
-            stop_requested=stop_requested,
+            clock=read_boottime,
+            make_tick=make_tick,
+            make_received=make_received,
+            make_stop_requested=make_stop_requested,
         )
         self.transport = Transport(
             message_url(settings.messages),
@@ -81,16 +81,16 @@
             lambda name, by: self.exposition.count(name, by),
             codec=messages,
             heartbeat_ms=HEARTBEAT_MS,
-            clock=now,
+            clock=read_boottime,
         )
         self.application.transport = self.transport
-        self.application.performers |= {
+        self.application.effect_handlers |= {
             SendMessage: self._send,
             Say: self._say,
             Observe: self.exposition.observe,
         }
 
-    def serve(
+    def add_http_service(
         self,
         address: Endpoint,
         handler: Handler,
@@ -103,7 +103,7 @@
         service = HttpService(address, handler, listener)
         self.application.add_hook(service.start, service.stop)
 
-    def open_messages(self) -> None:
+    def add_transport(self) -> None:
         """Have messages taken and sent for as long as the application runs."""
 
         async def start() -> None:
@@ -114,7 +114,7 @@
 
         self.application.add_hook(start, stop)
 
-    def open_store(self) -> None:
+    def add_store(self) -> None:
         """Have the store's connections and the log closed at the end."""
 
         async def start() -> None:
@@ -133,7 +133,7 @@
         self._say(Say(sentence, fields))
 
     def _send(self, effect: SendMessage) -> None:
-        self.transport.send(effect.address, effect.message, now())
+        self.transport.send(effect.address, effect.message, read_boottime())
 
     def _say(self, effect: Say) -> None:
         self.log.say(self.part, effect.sentence, effect.fields, effect.level)
--- a/src/cactuswalk/runtime/dispatchagent.py
+++ b/src/cactuswalk/runtime/dispatchagent.py
@@ -20,8 +20,8 @@
 from cactuswalk.platform.announcements import AnnouncementHandler
 from cactuswalk.platform.errors import PlatformError
 from cactuswalk.platform.worker import WorkerClient
-from cactuswalk.runtime.dispatch import DispatchHost, now
-from cactuswalk.runtime.following import ENTRIES_PREFIX, read_member
+from cactuswalk.runtime.dispatch import DispatchRuntime, read_boottime
+from cactuswalk.runtime.storewatch import ENTRIES_PREFIX, decode_member
 from cactuswalk.settings.dispatch import DispatchAgentSettings
 
 __all__ = ["DispatchAgentProcess"]
@@ -55,7 +55,7 @@
             settings.grace_seconds,
             settings.drain_seconds - DRAIN_MARGIN_SECONDS,
         )
-        self.host = DispatchHost(
+        self.runtime = DispatchRuntime(
             settings,
             Part.AGENT,
             functools.partial(reduce, self.state),
@@ -64,50 +64,58 @@
             Tick,
             StopRequested,
         )
-        self.application = self.host.application
-        self.worker = WorkerClient(str(settings.worker), now)
-        self.application.performers |= {
-            StartTask: lambda effect: self._call(self.worker.start(effect)),
-            StopTask: lambda effect: self._call(self.worker.stop(effect)),
-            PollWorker: lambda effect: self._call(self.worker.poll(effect)),
-            ReadEntries: lambda effect: self._call(self._ask_entries()),
+        self.application = self.runtime.application
+        self.worker = WorkerClient(str(settings.worker), read_boottime)
+        self.application.effect_handlers |= {
+            StartTask: lambda effect: self._spawn_call(self.worker.start(effect)),
+            StopTask: lambda effect: self._spawn_call(self.worker.stop(effect)),
+            PollWorker: lambda effect: self._spawn_call(self.worker.poll(effect)),
+            ReadEntries: lambda effect: self._spawn_call(self._list_entries()),
         }
 
     async def run(self) -> None:
         """Run until a planned stop is complete."""
-        signal.signal(signal.SIGHUP, lambda *_: self.host.say("settings have changed"))
-        self.host.open_store()
+        signal.signal(
+            signal.SIGHUP, lambda *_: self.runtime.say("settings have changed")
+        )
+        self.runtime.add_store()
         edge = AnnouncementHandler(
-            self.settings.service, self.application.feed, self._warn
+            self.settings.service, self.application.feed, self._log_unusable_heartbeat
+        )
+        self.runtime.add_http_service(
+            self.settings.announcements, edge.handle, self.listener
         )
-        self.host.serve(self.settings.announcements, edge.handle, self.listener)
-        self.host.open_messages()
-        self.host.serve(self.settings.metrics, self.host.exposition.handler())
-        self.application.add_hook(self._begin, self.worker.close)
+        self.runtime.add_transport()
+        self.runtime.add_http_service(
+            self.settings.metrics, self.runtime.exposition.make_handler()
+        )
+        self.application.add_hook(self._feed_first_tick, self.worker.close)
         await self.application.run()
 
     def is_stopped(self) -> bool:
         """Return whether everything is finished, or time is up."""
-        return self.state.is_idle(now()) or now() >= self.state.stop_by
+        return (
+            self.state.is_idle(read_boottime()) or read_boottime() >= self.state.stop_by
+        )
 
-    async def _begin(self) -> None:
+    async def _feed_first_tick(self) -> None:
         """Look for the entries at once, not when the first tick comes 50 ms later."""
         self.application.feed(Tick())
 
-    def _call(self, work: Awaitable) -> None:
+    def _spawn_call(self, work: Awaitable) -> None:
         self.application.spawn(self._feed_result(work))
 
     async def _feed_result(self, work: Awaitable) -> None:
         self.application.feed(await work)
 
-    async def _ask_entries(self) -> EntriesRead:
+    async def _list_entries(self) -> EntriesRead:
         try:
-            _, items = await self.host.store.list(ENTRIES_PREFIX, allow_stale=True)
+            _, items = await self.runtime.store.list(ENTRIES_PREFIX, allow_stale=True)
         except PlatformError as error:
-            self.host.say("can't learn of entries", reason=str(error))
+            self.runtime.say("can't learn of entries", reason=str(error))
             return EntriesRead(None)
-        read = [read_member(item.value) for item in items]
+        read = [decode_member(item.value) for item in items]
         return EntriesRead([member for member in read if member is not None])
 
-    def _warn(self, error: PlatformError) -> None:
-        self.host.say("a heartbeat can't be used", reason=error.message)
+    def _log_unusable_heartbeat(self, error: PlatformError) -> None:
+        self.runtime.say("a heartbeat can't be used", reason=error.message)
--- a/src/cactuswalk/runtime/dispatchentry.py
+++ b/src/cactuswalk/runtime/dispatchentry.py
@@ -38,14 +38,14 @@
     OPERATORS_PREFIX,
     parse_evacuated_data_centre,
 )
-from cactuswalk.runtime.dispatch import DispatchHost, now
-from cactuswalk.runtime.following import (
+from cactuswalk.runtime.dispatch import DispatchRuntime, read_boottime
+from cactuswalk.runtime.storewatch import (
     ENTRIES_PREFIX,
-    Patience,
+    PrefixUpdate,
     Registration,
-    Update,
-    follow,
-    read_member,
+    StoreBackoff,
+    decode_member,
+    watch_prefix,
 )
 from cactuswalk.settings.dispatch import DispatchEntrySettings, message_url
 
@@ -53,20 +53,20 @@
 
 # A watch that waits is a call like others; and a connection that went silent for
 # good is noticed no sooner than this. A change has two seconds to be in force.
-OPERATORS_WAIT_SECONDS = 1.2
-ENTRIES_WAIT_SECONDS = 4.0
+OPERATORS_WATCH_SECONDS = 1.2
+ENTRIES_WATCH_SECONDS = 4.0
 
 # The balancer asks once a second and turns away after two misses; a stopping
 # entry that leaves sooner would break connections that are still given to it.
-BALANCER_SECONDS = 3.0
+BALANCER_NOTICE_SECONDS = 3.0
 
 # A key that isn't given up goes with its lease; the process has to be gone by then.
-LEAVE_SECONDS = 0.2
+DEREGISTER_TIMEOUT_SECONDS = 0.2
 
 # An entry that starts meets its first agents within a tenth of a second or two. The
 # balancer is answered then: told otherwise, it comes back a second later.
-READY_PATIENCE_SECONDS = 0.3
-READY_LOOK_SECONDS = 0.02
+READY_WAIT_SECONDS = 0.3
+READY_POLL_SECONDS = 0.02
 
 STOP_MARGIN_SECONDS = 0.5
 
@@ -91,58 +91,62 @@
             settings.far_factor,
             settings.grace_seconds,
         )
-        self.host = DispatchHost(
+        self.runtime = DispatchRuntime(
             settings,
             Part.ENTRY,
             functools.partial(reduce, self.state),
             self.is_stopped,
-            self._received,
+            self._make_received,
             Tick,
             StopRequested,
         )
-        self.application = self.host.application
-        self.application.performers[Answer] = self._answer
+        self.application = self.runtime.application
+        self.application.effect_handlers[Answer] = self._resolve_waiter
         member = Member(address, settings.data_centre)
-        self.registration = Registration(self.host.store, settings.name, member)
+        self.registration = Registration(self.runtime.store, settings.name, member)
         self.waiters: dict[int, asyncio.Future] = {}
-        self.numbers = itertools.count(1)
+        self.waiter_ids = itertools.count(1)
         self.configuration = b""
         self.members: dict[str, Member] = {}
         self.evacuated: set[str] = set()
-        self.stopped_at = 0.0
+        self.stop_began_at = 0.0
         self.is_closed = False
 
     async def run(self) -> None:
         """Run until a planned stop is complete."""
-        signal.signal(signal.SIGHUP, lambda *_: self.host.say("settings have changed"))
-        self.host.open_store()
-        ready = make_readiness_handler(self._becomes_ready)
-        self.host.serve(self.settings.readiness, ready, self.listener)
-        self.host.serve(self.settings.metrics, self.host.exposition.handler())
-        self.host.open_messages()
-        self.application.add_hook(self._follow_store, self._leave_store)
+        signal.signal(
+            signal.SIGHUP, lambda *_: self.runtime.say("settings have changed")
+        )
+        self.runtime.add_store()
+        ready = make_readiness_handler(self._wait_until_ready)
+        self.runtime.add_http_service(self.settings.readiness, ready, self.listener)
+        self.runtime.add_http_service(
+            self.settings.metrics, self.runtime.exposition.make_handler()
+        )
+        self.runtime.add_transport()
+        self.application.add_hook(self._start_store_watches, self._deregister)
         # Started last and stopped first: a caller who is let in is answered.
-        self.host.serve(self.settings.callers, CallerHandler(self).handle)
+        self.runtime.add_http_service(self.settings.callers, CallerHandler(self).handle)
         await self.application.run()
 
     def is_stopped(self) -> bool:
         """Return whether every caller is answered and the balancer has noticed."""
-        if not self.stopped_at:
-            self.stopped_at = now()
-        waited = now() - self.stopped_at
+        if not self.stop_began_at:
+            self.stop_began_at = read_boottime()
+        waited = read_boottime() - self.stop_began_at
         out_of_time = waited >= self.settings.grace_seconds - STOP_MARGIN_SECONDS
         self.is_closed = out_of_time or (
-            waited >= BALANCER_SECONDS and not self.waiters
+            waited >= BALANCER_NOTICE_SECONDS and not self.waiters
         )
         return self.is_closed
 
-    async def _becomes_ready(self) -> bool:
+    async def _wait_until_ready(self) -> bool:
         """Return whether this entry is ready, or will be in a moment."""
-        asked_at = now()
-        while not self.state.is_ready(now()):
-            if self.state.stop_at or now() - asked_at > READY_PATIENCE_SECONDS:
+        asked_at = read_boottime()
+        while not self.state.is_ready(read_boottime()):
+            if self.state.stop_at or read_boottime() - asked_at > READY_WAIT_SECONDS:
                 return False
-            await asyncio.sleep(READY_LOOK_SECONDS)
+            await asyncio.sleep(READY_POLL_SECONDS)
         return True
 
     # What the callers' edge asks for.
@@ -172,7 +176,7 @@
         if self.is_closed:
             # Nothing is judged or told any more, so that it would never end.
             return JobResult(JobVerdict.NOT_RUN, "this entry has stopped", 1.0)
-        waiter = next(self.numbers)
+        waiter = next(self.waiter_ids)
         future = asyncio.get_running_loop().create_future()
         self.waiters[waiter] = future
         try:
@@ -184,7 +188,7 @@
         finally:
             del self.waiters[waiter]
 
-    def _answer(self, effect: Answer) -> None:
+    def _resolve_waiter(self, effect: Answer) -> None:
         future = self.waiters.get(effect.waiter)
         if future is not None and not future.done():
             future.set_result(
@@ -193,51 +197,51 @@
 
     # The store, and other entries' copies of it.
 
-    async def _follow_store(self) -> None:
+    async def _start_store_watches(self) -> None:
         generator = random.Random(secrets.randbits(64))
 
-        def patience(what: str) -> Patience:
-            return Patience(what, now, self.host.say, generator)
+        def make_backoff(what: str) -> StoreBackoff:
+            return StoreBackoff(what, read_boottime, self.runtime.say, generator)
 
-        store = self.host.store
+        store = self.runtime.store
         self.application.spawn(
-            follow(
+            watch_prefix(
                 store,
                 OPERATORS_PREFIX,
-                OPERATORS_WAIT_SECONDS,
-                self._take_operators_keys,
-                patience("configuration"),
+                OPERATORS_WATCH_SECONDS,
+                self._apply_operators_update,
+                make_backoff("configuration"),
             )
         )
         self.application.spawn(
-            follow(
+            watch_prefix(
                 store,
                 ENTRIES_PREFIX,
-                ENTRIES_WAIT_SECONDS,
-                self._take_entries,
-                patience("entries"),
+                ENTRIES_WATCH_SECONDS,
+                self._apply_entries,
+                make_backoff("entries"),
             )
         )
-        self.application.spawn(self.registration.keep(patience("registration")))
+        self.application.spawn(self.registration.maintain(make_backoff("registration")))
 
-    async def _leave_store(self) -> None:
+    async def _deregister(self) -> None:
         """Give the key up; a store that doesn't answer takes it back by itself."""
         try:
-            async with asyncio.timeout(LEAVE_SECONDS):
+            async with asyncio.timeout(DEREGISTER_TIMEOUT_SECONDS):
                 await self.registration.remove()
         except TimeoutError:
-            self.host.say("leaves its key to the store: no answer")
+            self.runtime.say("leaves its key to the store: no answer")
 
-    def _take_operators_keys(self, update: Update) -> None:
+    def _apply_operators_update(self, update: PrefixUpdate) -> None:
         """Take the configuration and the evacuations, which lie side by side."""
         for change in update.changes:
             if change.key == CONFIGURATION_KEY and change.value is not None:
-                self._use_configuration(change.value)
-        self._take_evacuations(update)
+                self._apply_configuration(change.value)
+        self._apply_evacuations(update)
 
-    def _take_evacuations(self, update: Update) -> None:
-        was = frozenset(self.evacuated)
-        if update.whole:
+    def _apply_evacuations(self, update: PrefixUpdate) -> None:
+        previous = frozenset(self.evacuated)
+        if update.is_snapshot:
             self.evacuated.clear()
         for change in update.changes:
             data_centre = parse_evacuated_data_centre(change.key)
@@ -247,41 +251,41 @@
                 self.evacuated.discard(data_centre)
             else:
                 self.evacuated.add(data_centre)
-        if update.whole or self.evacuated != was:
+        if update.is_snapshot or self.evacuated != previous:
             evacuations = Evacuations(update.revision, tuple(sorted(self.evacuated)))
             self.application.feed(EvacuationsRead(evacuations))
 
-    def _use_configuration(self, value: bytes) -> None:
+    def _apply_configuration(self, value: bytes) -> None:
         try:
             queues = read_configuration(value)
         except UnreadableConfigurationError as error:
-            self.host.say("a configuration can't be read", reason=error.message)
+            self.runtime.say("a configuration can't be read", reason=error.message)
             return
         known = self.state.queues
         if known is None or queues.version > known.version:
             self.configuration = value
             self.application.feed(ConfigurationRead(queues))
 
-    def _take_entries(self, update: Update) -> None:
-        if update.whole:
+    def _apply_entries(self, update: PrefixUpdate) -> None:
+        if update.is_snapshot:
             self.members.clear()
         for change in update.changes:
             self.members.pop(change.key, None)
             if change.value is None:
                 continue
-            member = read_member(change.value)
+            member = decode_member(change.value)
             if member is None:
-                self.host.say("an entry's key can't be read", key=change.key)
+                self.runtime.say("an entry's key can't be read", key=change.key)
                 continue
             self.members[change.key] = member
-        self.registration.check(set(self.members))
+        self.registration.rewrite_if_missing(set(self.members))
         self.application.feed(EntriesListed(list(self.members.values())))
 
-    def _received(self, sender: str, message) -> Received:
+    def _make_received(self, sender: str, message) -> Received:
         """Hand configurations over here; all other messages are the reducer's."""
         if isinstance(message, ConfigurationRequest) and self.configuration:
             copy = ConfigurationCopy(self.state.queues.version, self.configuration)
-            self.host.transport.send(sender, copy, now())
+            self.runtime.transport.send(sender, copy, read_boottime())
         elif isinstance(message, ConfigurationCopy):
-            self._use_configuration(message.value)
+            self._apply_configuration(message.value)
         return Received(sender, message)
--- a/src/cactuswalk/runtime/entry.py
+++ b/src/cactuswalk/runtime/entry.py
@@ -14,8 +14,8 @@
 from cactuswalk.http.server import HttpServer
 from cactuswalk.messages import ConfigurationUpdate, JobState
 from cactuswalk.model.configuration import JobTemplate
-from cactuswalk.runtime.host import Host
-from cactuswalk.runtime.operators import OperatorsDesk
+from cactuswalk.runtime.operators import OperatorsAdapter
+from cactuswalk.runtime.process import ProcessRuntime
 from cactuswalk.settings import EntrySettings
 from cactuswalk.state.effects import Reply, ReplyState
 from cactuswalk.state.entry import EntryState, handle_entry, new_entry
@@ -26,7 +26,7 @@
 __all__ = ["EntryProcess"]
 
 # A change that an operator has asked for is settled within the store's patience.
-OPERATORS_FINISH_SECONDS = 10.0
+OPERATORS_DRAIN_SECONDS = 10.0
 
 
 class EntryProcess:
@@ -34,20 +34,20 @@
 
     def __init__(self, settings: EntrySettings) -> None:
         self.settings = settings
-        self.host = Host(settings.name, settings)
-        self.waiting: dict[str, asyncio.Future] = {}
-        self.questions: dict[str, asyncio.Future] = {}
+        self.runtime = ProcessRuntime(settings.name, settings)
+        self.waiters: dict[str, asyncio.Future] = {}
+        self.state_queries: dict[str, asyncio.Future] = {}
         self.serial = itertools.count(1)
-        self.leaving = EntryShutdown()
+        self.shutdown = EntryShutdown()
         self.state = self._make_state()
-        self.application = self.host.make_application(
+        self.application = self.runtime.make_application(
             lambda event, now: handle_entry(self.state, event, now),
             self._is_stopped,
-            self._may_leave,
+            self._can_stop,
         )
-        self.host.attach(self.application, ENTRY_RATE, ENTRY_BURST)
-        self.application.performers[Reply] = self._reply
-        self.application.performers[ReplyState] = self._reply_state
+        self.runtime.attach(self.application, ENTRY_RATE, ENTRY_BURST)
+        self.application.effect_handlers[Reply] = self._resolve_submission
+        self.application.effect_handlers[ReplyState] = self._resolve_query
         self._add_hooks()
 
     async def run(self) -> None:
@@ -58,8 +58,8 @@
         timing = Timing(retention=float(self.settings.retention_seconds))
         wall_ms = time.time() * 1000 - time.monotonic() * 1000
         peers = self.settings.peers
-        host = self.host
-        return new_entry(host.address, [], timing, host.generator, wall_ms, peers)
+        runtime = self.runtime
+        return new_entry(runtime.address, [], timing, runtime.generator, wall_ms, peers)
 
     def _add_hooks(self) -> None:
         application, settings = self.application, self.settings
@@ -68,9 +68,9 @@
             application.feed,
             application.feed,
             self.query,
-            self._not_ready,
-            self.host.counter(),
-            self._template,
+            self._check_readiness,
+            self.runtime.make_counter(),
+            self._find_template,
         )
         finish_seconds = settings.limits.maximum_deadline_ms / 1000
         self.server = HttpServer(
@@ -80,36 +80,36 @@
             settings.http,
             finish_seconds,
         )
-        application.add_hook(self._follow, self._follow_no_more)
+        application.add_hook(self._start_watches, self._do_nothing)
         application.add_hook(self.server.start, self.server.stop)
         if settings.operators_http is not None:
             application.add_hook(self._open_operators, self._close_operators)
 
-    def _template(self, name: str) -> JobTemplate | None:
+    def _find_template(self, name: str) -> JobTemplate | None:
         found = self.state.spread.replica.get("job", name)
         return found if isinstance(found, JobTemplate) else None
 
-    async def _follow(self) -> None:
+    async def _start_watches(self) -> None:
         """Watch the cells and the configuration; ends with the application."""
-        self.configuration_keys = ConfigurationKeys(self.host.store)
-        self.application.spawn(self.host.port.watch("cells/"))
+        self.configuration_keys = ConfigurationKeys(self.runtime.store)
+        self.application.spawn(self.runtime.key_value.watch("cells/"))
         self.application.spawn(follow(self.configuration_keys, self._publish))
 
-    async def _follow_no_more(self) -> None:
+    async def _do_nothing(self) -> None:
         """Do nothing: the application has ended the watches."""
 
     def _publish(self, update: ConfigurationUpdate) -> None:
         self.application.feed(ConfigurationChanged(update))
 
     async def _open_operators(self) -> None:
-        desk = OperatorsDesk(
+        adapter = OperatorsAdapter(
             self.settings.name, self.settings.operators, self.application
         )
-        interface = desk.interface(self.state, self.configuration_keys)
+        interface = adapter.interface(self.state, self.configuration_keys)
         self.operators_server = HttpServer(
             make_operators_application(interface),
             self.settings.operators_http,
-            OPERATORS_FINISH_SECONDS,
+            OPERATORS_DRAIN_SECONDS,
         )
         await self.operators_server.start()
 
@@ -118,51 +118,51 @@
 
     async def submit(self, event: CallerSubmitted) -> Reply:
         """Hand a submission to the reducer and wait for its one reply."""
-        self.leaving.record_submission(time.monotonic())
+        self.shutdown.record_submission(time.monotonic())
         future = asyncio.get_running_loop().create_future()
-        self.waiting[event.waiter] = future
+        self.waiters[event.waiter] = future
         self.application.feed(event)
         try:
             return await future
         finally:
-            self.waiting.pop(event.waiter, None)
+            self.waiters.pop(event.waiter, None)
 
     async def query(self, submission: str, service: str) -> JobState | None:
         """Ask the owners where a submission stands."""
         request = str(next(self.serial))
         future = asyncio.get_running_loop().create_future()
-        self.questions[request] = future
+        self.state_queries[request] = future
         self.application.feed(CallerAsked(request, submission, service))
         try:
             return await future
         finally:
-            self.questions.pop(request, None)
+            self.state_queries.pop(request, None)
 
-    def _reply(self, effect: Reply) -> None:
-        future = self.waiting.pop(effect.waiter, None)
+    def _resolve_submission(self, effect: Reply) -> None:
+        future = self.waiters.pop(effect.waiter, None)
         if future is not None and not future.done():
             future.set_result(effect)
 
-    def _reply_state(self, effect: ReplyState) -> None:
-        future = self.questions.get(effect.request)
+    def _resolve_query(self, effect: ReplyState) -> None:
+        future = self.state_queries.get(effect.request)
         if future is not None and not future.done():
             future.set_result(effect.state)
 
     def _is_stopped(self) -> bool:
-        return not self.state.pending and not self.waiting
+        return not self.state.pending and not self.waiters
 
-    def _may_leave(self, now: float) -> bool:
-        if self.leaving.began_at is None:
-            self.leaving.begin(now)
-        return self.leaving.can_stop(now)
+    def _can_stop(self, now: float) -> bool:
+        if self.shutdown.began_at is None:
+            self.shutdown.begin(now)
+        return self.shutdown.can_stop(now)
 
-    def _not_ready(self) -> list[str]:
+    def _check_readiness(self) -> list[str]:
         now = time.monotonic()
-        reasons = self._reasons_against(now)
-        self.leaving.record_readiness_check(not reasons, now)
+        reasons = self._list_unready_reasons(now)
+        self.shutdown.record_readiness_check(not reasons, now)
         return reasons
 
-    def _reasons_against(self, now: float) -> list[str]:
+    def _list_unready_reasons(self, now: float) -> list[str]:
         if self.application.stopping:
             return ["this entry is stopping"]
         return reasons_against(self.state, now)
--- a/src/cactuswalk/runtime/exposition.py
+++ b/src/cactuswalk/runtime/exposition.py
@@ -18,7 +18,7 @@
 BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
 
 
-class Durations(msgspec.Struct):
+class DurationHistogram(msgspec.Struct):
     """A histogram.
 
     :param counts: by bucket, and what is longer than the last one's bound.
@@ -33,13 +33,13 @@
         self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
         self.total += seconds
 
-    def cumulated(self) -> list[tuple[str, float]]:
+    def cumulative_counts(self) -> list[tuple[str, float]]:
         """Return each bucket's upper bound, and how many are not longer."""
         bounds = [str(bound) for bound in BUCKETS] + ["+Inf"]
         rows = []
         count = 0
-        for bound, own in zip(bounds, self.counts, strict=True):
-            count += own
+        for bound, bucket_count in zip(bounds, self.counts, strict=True):
+            count += bucket_count
             rows.append((bound, float(count)))
         return rows
 
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.counters: dict[str, dict[str, int]] = {}
-        self.histograms: dict[str, dict[str, Durations]] = {}
+        self.histograms: dict[str, dict[str, DurationHistogram]] = {}
 
     def observe(self, effect: Observe) -> None:
         """Count an event or record a duration."""
@@ -59,7 +59,7 @@
         labels = self.histograms.setdefault(effect.name, {})
         durations = labels.get(effect.label)
         if durations is None:
-            durations = labels[effect.label] = Durations()
+            durations = labels[effect.label] = DurationHistogram()
         durations.observe(effect.seconds)
 
     def count(self, name: str, by: int, label: str = "") -> None:
@@ -75,10 +75,10 @@
         )
 
         for name, counts in self.counters.items():
-            plain = name.replace(".", "_")
+            metric_name = name.replace(".", "_")
             counter = CounterMetricFamily(
-                f"cactuswalk_{plain}",
-                f"Count of {plain.replace('_', ' ')}.",
+                f"cactuswalk_{metric_name}",
+                f"Count of {metric_name.replace('_', ' ')}.",
                 labels=["label"],
             )
             for label, count in counts.items():
@@ -91,10 +91,12 @@
                 labels=["label"],
             )
             for label, durations in by_label.items():
-                histogram.add_metric([label], durations.cumulated(), durations.total)
+                histogram.add_metric(
+                    [label], durations.cumulative_counts(), durations.total
+                )
             yield histogram
 
-    def handler(self) -> Handler:
+    def make_handler(self) -> Handler:
         """Return the handler of the metrics address."""
 
         async def handle(request: BaseRequest) -> Response:
--- a/src/cactuswalk/runtime/keys.py
+++ b/src/cactuswalk/runtime/keys.py
@@ -14,7 +14,7 @@
 
 from cactuswalk.settings import CurveSettings
 
-__all__ = ["Keys", "address_with_key"]
+__all__ = ["CurveKeys", "address_with_key"]
 
 KEY_SEPARATOR = "?key="
 
@@ -22,10 +22,10 @@
 MECHANISM_MISMATCH = 0x11000002
 
 # Strangers counted in one look; a flood of them must not hold up the loop.
-STRANGERS_A_LOOK = 100
+MAX_EVENTS_PER_POLL = 100
 
 
-class Keys:
+class CurveKeys:
     """A process's key pair, and the public keys that it accepts."""
 
     def __init__(self, settings: CurveSettings) -> None:
@@ -48,7 +48,7 @@
             zmq.asyncio.Context.shadow(context)
         )
         authenticator.start()
-        authenticator.configure_curve_callback("*", _Gatekeeper(self.allowed, count))
+        authenticator.configure_curve_callback("*", _KeyAuthorizer(self.allowed, count))
         self.authenticator = authenticator
         socket.curve_publickey = self.public
         socket.curve_secretkey = self.secret
@@ -64,7 +64,7 @@
         """Count the processes that tried to connect without any key."""
         if self.monitor is None:
             return
-        for _ in range(STRANGERS_A_LOOK):
+        for _ in range(MAX_EVENTS_PER_POLL):
             try:
                 failed = recv_monitor_message(self.monitor, zmq.DONTWAIT)
             except zmq.Again:
@@ -99,7 +99,7 @@
             self.authenticator.stop()
 
 
-class _Gatekeeper:
+class _KeyAuthorizer:
     """What the authenticator asks about each connection."""
 
     def __init__(self, allowed: set[bytes], count: Callable[[str, int], None]) -> None:
@@ -108,10 +108,10 @@
 
     def callback(self, domain: str, key: bytes) -> bool:
         """Tell whether a public key may connect."""
-        known = key in self.allowed
-        if not known:
+        is_allowed = key in self.allowed
+        if not is_allowed:
             self.count("transport.stranger_refused", 1)
-        return known
+        return is_allowed
 
 
 def address_with_key(address: str, public_key: str) -> str:
--- a/src/cactuswalk/runtime/keyvalue.py
+++ b/src/cactuswalk/runtime/keyvalue.py
@@ -5,10 +5,10 @@
 from cactuswalk.state.effects import ReadKey, SwapKey
 from cactuswalk.state.events import KeyRead
 
-__all__ = ["KeyValuePort"]
+__all__ = ["KeyValueAdapter"]
 
 
-class KeyValuePort:
+class KeyValueAdapter:
     """Performs ``ReadKey`` and ``SwapKey``; each ends in one event.
 
     One call a key is under way at a time: a reducer that asks again each tick
@@ -18,23 +18,23 @@
     def __init__(self, application: Application, store: KeyValueStore) -> None:
         self.application = application
         self.store = store
-        self.under_way: set[str] = set()
-        application.performers[ReadKey] = self.read
-        application.performers[SwapKey] = self.swap
+        self.in_flight: set[str] = set()
+        application.effect_handlers[ReadKey] = self.read
+        application.effect_handlers[SwapKey] = self.swap
 
     def read(self, effect: ReadKey) -> None:
         """Begin a read, unless one of the same key is under way."""
-        mark = f"read {effect.key}"
-        if mark not in self.under_way:
-            self.under_way.add(mark)
-            self.application.spawn(self._read(effect, mark))
+        call_key = f"read {effect.key}"
+        if call_key not in self.in_flight:
+            self.in_flight.add(call_key)
+            self.application.spawn(self._read(effect, call_key))
 
     def swap(self, effect: SwapKey) -> None:
         """Begin a swap, unless the same write is under way."""
-        mark = f"swap {effect.write_id}"
-        if mark not in self.under_way:
-            self.under_way.add(mark)
-            self.application.spawn(self._swap(effect, mark))
+        call_key = f"swap {effect.write_id}"
+        if call_key not in self.in_flight:
+            self.in_flight.add(call_key)
+            self.application.spawn(self._swap(effect, call_key))
 
     async def watch(self, prefix: str) -> None:
         """Feed every change under a prefix as a ``KeyRead``, without end."""
@@ -44,18 +44,18 @@
                     KeyRead(change.key, True, change.value, change.mod_revision)
                 )
 
-    async def _read(self, effect: ReadKey, mark: str) -> None:
+    async def _read(self, effect: ReadKey, call_key: str) -> None:
         try:
             event = await self.store.read(effect.key)
         finally:
-            self.under_way.discard(mark)
+            self.in_flight.discard(call_key)
         self.application.feed(event)
 
-    async def _swap(self, effect: SwapKey, mark: str) -> None:
+    async def _swap(self, effect: SwapKey, call_key: str) -> None:
         try:
             event = await self.store.swap(
                 effect.key, effect.expected, effect.value, effect.write_id
             )
         finally:
-            self.under_way.discard(mark)
+            self.in_flight.discard(call_key)
         self.application.feed(event)
--- a/src/cactuswalk/runtime/logs.py
+++ b/src/cactuswalk/runtime/logs.py
@@ -31,20 +31,20 @@
 
 
 # eliot's encoder takes 64-bit numbers; another one would lose its whole line.
-LARGEST_INTEGER = (1 << 63) - 1
+MAX_INTEGER = (1 << 63) - 1
 
 # How long a line may wait to be written: longer than an empty request's way
 # through the path (3 to 5 ms, docs/measurements/path.md), so that its lines are
 # written after its answer, and short enough that a killed process loses little.
-WRITE_AFTER = 0.02
+WRITE_DELAY_SECONDS = 0.02
 
 # Lines that may wait. A job of 140 tasks makes three for each of them in one or
 # two turns of the loop; beyond that, memory goes before the time of a turn.
-WAITING_LINES = 500
+MAX_WAITING_LINES = 500
 
 # Lines from here on are written at once, and what waits before them: a process
 # that is about to end because of them must not take them along.
-AT_ONCE = LEVELS["warning"]
+IMMEDIATE_LEVEL = LEVELS["warning"]
 
 
 class Logs:
@@ -58,9 +58,9 @@
     def __init__(self, settings: LogSettings, process: str) -> None:
         self.level = LEVELS[settings.level]
         self.process = process
-        self.stream, self.opened = _open_destination(settings.destination)
-        self.batch = Batch()
-        self.destination = eliot.FileDestination(file=self.batch)
+        self.stream, self.owns_stream = _open_destination(settings.destination)
+        self.buffer = LineBuffer()
+        self.destination = eliot.FileDestination(file=self.buffer)
         eliot.add_destinations(self.destination)
         self.logger = eliot.Logger()
         # An identifier drawn for each line costs more than encoding it.
@@ -70,7 +70,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
         # Lines that could not be written since the last time that this was said.
-        self.left_out = 0
+        self.dropped_lines = 0
         self.handler = LibraryHandler(self)
         logging.getLogger().addHandler(self.handler)
 
@@ -88,28 +88,30 @@
         """Write one sentence of a part, with the values that led to it."""
         if LEVELS[level] < self.level:
             return
-        own = {
+        line = {
             # A field of an effect must not replace one of the line itself.
             f"{name}_" if name in LINE_FIELDS else name: (
-                value if type(value) is str else _plain(value)
+                value if type(value) is str else _to_json_value(value)
             )
             for name, value in (fields or {}).items()
         }
-        self.put(part.value, sentence, own, level)
+        self.enqueue(part.value, sentence, line, level)
 
-    def put(self, part: str, sentence: str, own: dict[str, object], level: str) -> None:
+    def enqueue(
+        self, part: str, sentence: str, line: dict[str, object], level: str
+    ) -> None:
         """Have a line written whose own fields are plain and free to use."""
         if self.closed:
             return
-        own["message_type"] = MESSAGE_TYPE
-        own["level"] = level
-        own["part"] = part
-        own["process"] = self.process
-        own["message"] = f"{part}: {sentence}"
-        own["timestamp"] = time.time()
-        self.waiting.append(own)
-        at_once = LEVELS.get(level, AT_ONCE) >= AT_ONCE
-        if at_once or len(self.waiting) >= WAITING_LINES:
+        line["message_type"] = MESSAGE_TYPE
+        line["level"] = level
+        line["part"] = part
+        line["process"] = self.process
+        line["message"] = f"{part}: {sentence}"
+        line["timestamp"] = time.time()
+        self.waiting.append(line)
+        is_immediate = LEVELS.get(level, IMMEDIATE_LEVEL) >= IMMEDIATE_LEVEL
+        if is_immediate or len(self.waiting) >= MAX_WAITING_LINES:
             self.flush()
         elif self.timer is None:
             self._flush_later()
@@ -124,12 +126,12 @@
             line["task_uuid"] = f"{self.task_prefix}{next(self.serial):012x}"
             line["task_level"] = [1]
             self.logger.write(line)
-        lines, self.batch.lines = self.batch.lines, []
+        lines, self.buffer.lines = self.buffer.lines, []
         if lines:
             self._write_out("".join(lines))
-        if self.left_out and self._is_writable():
-            left_out, self.left_out = self.left_out, 0
-            self.say(Part.PROCESS, "lines were left out", {"lines": left_out})
+        if self.dropped_lines and self._is_writable():
+            dropped_lines, self.dropped_lines = self.dropped_lines, 0
+            self.say(Part.PROCESS, "log lines were dropped", {"lines": dropped_lines})
 
     def close(self) -> None:
         """Write the rest, then no more, and close a file that this has opened."""
@@ -139,7 +141,7 @@
         logging.getLogger().removeHandler(self.handler)
         self.flush()
         eliot.remove_destination(self.destination)
-        if self.opened:
+        if self.owns_stream:
             self.stream.close()
 
     def _flush_later(self) -> None:
@@ -148,20 +150,20 @@
         except RuntimeError:
             self.flush()
             return
-        self.timer = loop.call_later(WRITE_AFTER, self.flush)
+        self.timer = loop.call_later(WRITE_DELAY_SECONDS, self.flush)
 
     def _write_out(self, text: str) -> None:
         lines = text.splitlines(keepends=True)
         try:
             while lines and self._is_writable():
-                piece = _take_piece(lines)
-                self.stream.write(piece)
+                chunk = _take_chunk(lines)
+                self.stream.write(chunk)
                 self.stream.flush()
         except (OSError, ValueError):
             # A full or closed destination must not end the process that serves.
             return
         # A reader that has stopped costs lines, not the time of callers.
-        self.left_out += len(lines)
+        self.dropped_lines += len(lines)
 
     def _is_writable(self) -> bool:
         """Return whether a piece can be written without waiting."""
@@ -174,17 +176,17 @@
         return bool(poll.poll(0))
 
 
-def _take_piece(lines: list[str]) -> str:
+def _take_chunk(lines: list[str]) -> str:
     """Take lines off the front that a pipe which is writable takes at once."""
-    piece = lines.pop(0)
-    size = len(piece)
+    chunk = lines.pop(0)
+    size = len(chunk)
     while lines and size + len(lines[0]) <= select.PIPE_BUF:
         size += len(lines[0])
-        piece += lines.pop(0)
-    return piece
+        chunk += lines.pop(0)
+    return chunk
 
 
-class Batch:
+class LineBuffer:
     """Takes encoded lines from eliot, which flushes after each, for one write."""
 
     def __init__(self) -> None:
@@ -232,20 +234,20 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record."""
         part = "http" if record.name.startswith("cactuswalk.") else "library"
-        own: dict[str, object] = {"logger": record.name}
-        self.logs.put(part, self.format(record), own, record.levelname.lower())
+        line: dict[str, object] = {"logger": record.name}
+        self.logs.enqueue(part, self.format(record), line, record.levelname.lower())
 
 
-def _plain(value: object) -> object:
+def _to_json_value(value: object) -> object:
     """Return a value that JSON can hold; a log line must not fail its caller."""
-    if isinstance(value, int) and abs(value) > LARGEST_INTEGER:
+    if isinstance(value, int) and abs(value) > MAX_INTEGER:
         return str(value)
     if value is None or isinstance(value, (str, int, float)):
         return value
     if isinstance(value, bytes):
         return value.hex()
     if isinstance(value, dict):
-        return {str(key): _plain(inner) for key, inner in value.items()}
+        return {str(key): _to_json_value(inner) for key, inner in value.items()}
     if isinstance(value, (list, tuple, set, frozenset)):
-        return [_plain(inner) for inner in value]
+        return [_to_json_value(inner) for inner in value]
     return str(value)
--- a/src/cactuswalk/runtime/metrics.py
+++ b/src/cactuswalk/runtime/metrics.py
@@ -13,7 +13,7 @@
 __all__ = ["Metrics", "NoMetrics", "make_metrics"]
 
 # A packet below the smallest usual MTU arrives whole or not at all.
-MAXIMUM_PACKET_BYTES = 1_200
+MAX_PACKET_BYTES = 1_200
 
 
 # Statsd servers fold what comes within ten seconds by default; a second keeps a
@@ -108,7 +108,7 @@
         host=settings.host,
         port=settings.port,
         prefix=settings.prefix,
-        maxudpsize=MAXIMUM_PACKET_BYTES,
+        maxudpsize=MAX_PACKET_BYTES,
         ipv6=":" in settings.host,
     )
     return Metrics(client)
--- a/src/cactuswalk/runtime/operators.py
+++ b/src/cactuswalk/runtime/operators.py
@@ -18,10 +18,10 @@
 from cactuswalk.state.events import ConfigurationChanged, OperatorAsked
 from cactuswalk.state.listening import is_silent
 
-__all__ = ["OperatorsDesk"]
+__all__ = ["OperatorsAdapter"]
 
 
-class OperatorsDesk:
+class OperatorsAdapter:
     """Answers the operators' interface from an entry's state.
 
     :param operators: names of operators, by the SHA-256 of their tokens.
@@ -34,8 +34,8 @@
         self.operators = operators
         self.application = application
         self.serial = itertools.count(1)
-        self.waiting: dict[str, asyncio.Future] = {}
-        application.performers[ReplyExplanation] = self._explained
+        self.waiters: dict[str, asyncio.Future] = {}
+        application.effect_handlers[ReplyExplanation] = self._resolve_explanation
 
     def interface(
         self, state: EntryState, keys: ConfigurationKeys
@@ -74,7 +74,7 @@
             "configuration": {
                 "revision": replica.revision,
                 "objects": sum(bool(one.value) for one in replica.objects.values()),
-                "nodes in force": _shown(in_force(state, replica.revision)),
+                "nodes in force": _format_in_force(in_force(state, replica.revision)),
             },
             "cells": cells,
         }
@@ -83,12 +83,12 @@
         """Ask the owners where a job may land now."""
         request = f"explain-{next(self.serial)}"
         future = asyncio.get_running_loop().create_future()
-        self.waiting[request] = future
+        self.waiters[request] = future
         try:
-            self.application.feed(OperatorAsked(request, _job_of(state, query)))
+            self.application.feed(OperatorAsked(request, _build_job(state, query)))
             cells = await future
         finally:
-            self.waiting.pop(request, None)
+            self.waiters.pop(request, None)
         verdicts = [
             {"worker": one.worker, "fits": one.fits, "verdict": one.verdict}
             for cell in cells
@@ -100,8 +100,8 @@
             summary = "No owner of a cell with this service has answered."
         return {"workers": verdicts, "summary": summary}
 
-    def _explained(self, effect: ReplyExplanation) -> None:
-        future = self.waiting.get(effect.request)
+    def _resolve_explanation(self, effect: ReplyExplanation) -> None:
+        future = self.waiters.get(effect.request)
         if future is not None and not future.done():
             future.set_result(effect.cells)
 
@@ -111,7 +111,7 @@
     return add_up(revision, state.held.values())
 
 
-def _shown(found: InForce) -> str:
+def _format_in_force(found: InForce) -> str:
     return f"{found.nodes_in_force} of {found.nodes}"
 
 
@@ -125,7 +125,7 @@
         "workers": len(view.workers),
         "free slots": sum(report.free_slots.values()) if report else 0,
         "queued": sum(report.queued.values()) if report else 0,
-        "holds": _shown_shares(view),
+        "holds": _format_shares(view),
     }
 
 
@@ -136,7 +136,7 @@
     return not is_silent(view, state.timing.confirm, time.monotonic())
 
 
-def _shown_shares(view) -> str:
+def _format_shares(view) -> str:
     """Say how much of each service a cell holds for keys that are yet to be born."""
     services = sorted({one.service for one in view.holdings})
     shares = [
@@ -146,7 +146,7 @@
     return ", ".join(shares) or "nothing"
 
 
-def _job_of(state: EntryState, query: dict[str, str]) -> Job:
+def _build_job(state: EntryState, query: dict[str, str]) -> Job:
     """Return the job that a question describes, its template filled in."""
     template = state.spread.replica.get("job", query.get("template", ""))
     if not isinstance(template, JobTemplate):
--- a/src/cactuswalk/runtime/host.py
+++ b/src/cactuswalk/runtime/process.py
@@ -7,8 +7,8 @@
 from cactuswalk import messages
 from cactuswalk.platform.keyvalue import KeyValueStore, open_store
 from cactuswalk.runtime.application import Application
-from cactuswalk.runtime.keys import Keys, address_with_key
-from cactuswalk.runtime.keyvalue import KeyValuePort
+from cactuswalk.runtime.keys import CurveKeys, address_with_key
+from cactuswalk.runtime.keyvalue import KeyValueAdapter
 from cactuswalk.runtime.logs import open_logs
 from cactuswalk.runtime.metrics import make_metrics
 from cactuswalk.runtime.transport import Transport
@@ -16,10 +16,10 @@
 from cactuswalk.state.effects import Effect, Send
 from cactuswalk.state.events import Event, Received, StopRequested, Tick
 
-__all__ = ["Host"]
+__all__ = ["ProcessRuntime"]
 
 
-class Host:
+class ProcessRuntime:
     """The parts of a process that its role does not change.
 
     :param name: of the process, in its log lines and towards the service.
@@ -38,13 +38,13 @@
         self.application: Application | None = None
         self.transport: Transport | None = None
         self.store: KeyValueStore | None = None
-        self.port: KeyValuePort | None = None
+        self.key_value: KeyValueAdapter | None = None
 
     def make_application(
         self,
         reduce: Callable[[Event, float], list[Effect]],
         is_stopped: Callable[[], bool],
-        may_leave: Callable[[float], bool] = lambda now: True,
+        can_stop: Callable[[float], bool] = lambda now: True,
     ) -> Application:
         """Return the application object of a reducer over this engine's events."""
         return Application(
@@ -56,7 +56,7 @@
             Tick,
             Received,
             StopRequested,
-            may_leave,
+            can_stop,
         )
 
     def attach(self, application: Application, rate: float, burst: float) -> None:
@@ -66,7 +66,7 @@
             ``decisions.callbudget``; so ``burst``.
         """
         self.application = application
-        keys = Keys(self.settings.curve) if self.settings.curve else None
+        keys = CurveKeys(self.settings.curve) if self.settings.curve else None
         self.transport = Transport(
             self.address,
             application.receive,
@@ -76,7 +76,7 @@
             codec=messages,
         )
         application.transport = self.transport
-        application.performers[Send] = self._send
+        application.effect_handlers[Send] = self._send
 
         async def open_transport() -> None:
             self.transport.open()
@@ -98,7 +98,7 @@
         """Return a generator of its own for a part that draws on its own."""
         return random.Random(self.generator.getrandbits(64))
 
-    def counter(self) -> Callable[[str], None]:
+    def make_counter(self) -> Callable[[str], None]:
         """Return what adds one to a counter."""
         return lambda name: self.metrics.count(name, 1)
 
@@ -112,9 +112,9 @@
             prefix=settings.prefix,
             timeout=settings.timeout_ms / 1000,
             generator=self.fork_generator(),
-            count=self.counter(),
+            count=self.make_counter(),
         )
-        self.port = KeyValuePort(self.application, self.store)
+        self.key_value = KeyValueAdapter(self.application, self.store)
 
     async def _close_store(self) -> None:
         await self.store.close()
--- a/src/cactuswalk/runtime/serving.py
+++ b/src/cactuswalk/runtime/serving.py
@@ -20,14 +20,14 @@
 Handler = Callable[[BaseRequest], Awaitable[Response]]
 
 # A request that is longer than this before its body is no caller of ours.
-MAXIMUM_HEADER_BYTES = 16_384
+MAX_HEADER_BYTES = 16_384
 
 # Idle connections of callers are kept; the balancer's clients come back on them.
-KEEP_SECONDS = 75.0
+KEEPALIVE_SECONDS = 75.0
 
 # What is still being answered when a process ends has this long: the library's own
 # minute let a stopping process be killed.
-CLOSE_SECONDS = 0.2
+SHUTDOWN_TIMEOUT_SECONDS = 0.2
 
 
 class HttpService:
@@ -53,9 +53,9 @@
             access_log=None,
             handler_cancellation=True,
             auto_decompress=False,
-            max_field_size=MAXIMUM_HEADER_BYTES,
-            max_line_size=MAXIMUM_HEADER_BYTES,
-            keepalive_timeout=KEEP_SECONDS,
+            max_field_size=MAX_HEADER_BYTES,
+            max_line_size=MAX_HEADER_BYTES,
+            keepalive_timeout=KEEPALIVE_SECONDS,
         )
         self.listening = await asyncio.get_running_loop().create_server(
             self.server,
@@ -69,4 +69,4 @@
         # What was accepted in this turn begins to be handled before it is closed.
         await asyncio.sleep(0)
         self.server.pre_shutdown()
-        await self.server.shutdown(CLOSE_SECONDS)
+        await self.server.shutdown(SHUTDOWN_TIMEOUT_SECONDS)
--- a/src/cactuswalk/runtime/following.py
+++ b/src/cactuswalk/runtime/storewatch.py
@@ -20,21 +20,28 @@
 )
 from cactuswalk.platform.metadata import ItemChange, MetadataStore
 
-__all__ = ["ENTRIES_PREFIX", "Registration", "Update", "follow", "read_member"]
+__all__ = [
+    "ENTRIES_PREFIX",
+    "PrefixUpdate",
+    "Registration",
+    "StoreBackoff",
+    "decode_member",
+    "watch_prefix",
+]
 
 # Entries write their addresses below it.
 ENTRIES_PREFIX = "cactuswalk/entries/"
 
 # An entry's key outlives so long an outage of its process.
 LEASE_SECONDS = 6.0
-RENEW_SECONDS = 2.0
+RENEW_PERIOD_SECONDS = 2.0
 
 # Waits longer than this would keep a node that was turned away from hearing of
 # the store's return: entries that lapsed have to be back within two seconds.
-LONGEST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 
 
-class Update(msgspec.Struct):
+class PrefixUpdate(msgspec.Struct):
     """What has come about under a prefix of the store.
 
     :param revision: of the store when this was all that had changed.
@@ -43,10 +50,10 @@
 
     revision: int
     changes: list[ItemChange]
-    whole: bool
+    is_snapshot: bool
 
 
-class Patience:
+class StoreBackoff:
     """Says once that the store is away, waits, and says that it is back."""
 
     def __init__(
@@ -62,27 +69,27 @@
         self.generator = generator
         self.backoff = Backoff()
 
-    async def after(self, error: PlatformError, started: float) -> None:
+    async def wait_after(self, error: PlatformError, started: float) -> None:
         """Wait as long as a failed call asks for."""
         if not self.backoff.failures:
             self.say("the store is lost", what=self.what, reason=str(error))
         now = self.clock()
         self.backoff.record_failure(started, now, self.generator)
-        await asyncio.sleep(min(self.backoff.remaining(now), LONGEST_WAIT_SECONDS))
+        await asyncio.sleep(min(self.backoff.remaining(now), MAX_WAIT_SECONDS))
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Take note that a call was answered."""
         if self.backoff.failures:
             self.say("the store is back", what=self.what, tries=self.backoff.failures)
         self.backoff.record_success()
 
 
-async def follow(
+async def watch_prefix(
     store: MetadataStore,
     prefix: str,
     wait_seconds: float,
-    take: Callable[[Update], None],
-    patience: Patience,
+    on_update: Callable[[PrefixUpdate], None],
+    backoff: StoreBackoff,
 ) -> None:
     """Give ``take`` all changes under a prefix, for ever.
 
@@ -91,31 +98,31 @@
     """
     revision: int | None = None
     while True:
-        started = patience.clock()
+        started = backoff.clock()
         try:
             if revision is None:
                 revision, items = await store.list(prefix)
-                whole = [
+                changes = [
                     ItemChange(item.key, item.value, item.revision) for item in items
                 ]
-                take(Update(revision, whole, True))
+                on_update(PrefixUpdate(revision, changes, True))
             else:
                 watched = await store.watch(prefix, revision, wait_seconds)
                 revision = watched.revision
                 if watched.changes:
-                    take(Update(revision, watched.changes, False))
+                    on_update(PrefixUpdate(revision, watched.changes, False))
         except HistoryCompactedError:
             revision = None
             continue
         except PlatformError as error:
             # A watch that was cut may have missed what the store has dropped
             # since; it finds out by itself, from the revision where it was.
-            await patience.after(error, started)
+            await backoff.wait_after(error, started)
             continue
-        patience.succeeded()
+        backoff.record_success()
 
 
-def read_member(value: bytes) -> Member | None:
+def decode_member(value: bytes) -> Member | None:
     """Return the entry that a key of the store tells of, or None if it can't be read.
 
     :param value: as ``Registration`` wrote it, or another version of this product.
@@ -138,31 +145,31 @@
         self.key = f"{ENTRIES_PREFIX}{name}"
         self.value = msgspec.json.encode(member)
         self.lease = 0
-        self.missing = asyncio.Event()
+        self.key_missing = asyncio.Event()
 
-    def check(self, keys: set[str]) -> None:
+    def rewrite_if_missing(self, keys: set[str]) -> None:
         """Write the key again if it is not among those that the store holds.
 
         The store may take a key away from a living holder, whose renewals go on
         being answered; only the list of keys shows it.
         """
         if self.key not in keys:
-            self.missing.set()
+            self.key_missing.set()
 
-    async def keep(self, patience: Patience) -> None:
+    async def maintain(self, backoff: StoreBackoff) -> None:
         """Hold the key, for ever."""
         while True:
-            started = patience.clock()
+            started = backoff.clock()
             try:
                 await self._renew()
             except PlatformError as error:
-                self.missing.set()
-                await patience.after(error, started)
+                self.key_missing.set()
+                await backoff.wait_after(error, started)
                 continue
-            patience.succeeded()
+            backoff.record_success()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(RENEW_SECONDS):
-                    await self.missing.wait()
+                async with asyncio.timeout(RENEW_PERIOD_SECONDS):
+                    await self.key_missing.wait()
 
     async def remove(self) -> None:
         """Give the key up at a planned stop."""
@@ -171,13 +178,13 @@
                 await self.store.revoke(self.lease)
 
     async def _renew(self) -> None:
-        if self.lease and not self.missing.is_set():
+        if self.lease and not self.key_missing.is_set():
             try:
                 await self.store.renew(self.lease)
                 return
             except LeaseLapsedError:
                 self.lease = 0
-        self.missing.clear()
+        self.key_missing.clear()
         if self.lease:
             try:
                 await self.store.put(self.key, self.value, self.lease)
--- a/src/cactuswalk/runtime/transport.py
+++ b/src/cactuswalk/runtime/transport.py
@@ -11,7 +11,7 @@
 import zmq
 
 from cactuswalk.errors import CactuswalkError, MalformedMessageError
-from cactuswalk.runtime.keys import KEY_SEPARATOR, Keys
+from cactuswalk.runtime.keys import KEY_SEPARATOR, CurveKeys
 
 __all__ = ["Transport", "TransportError"]
 
@@ -23,22 +23,22 @@
 RECONNECT_MS = 100
 # A process that comes back is met this much later at worst, by its first words to
 # those that had given it up.
-RECONNECT_MAXIMUM_MS = 200
+MAX_RECONNECT_MS = 200
 # Connections to peers that nothing was sent to for this long are closed, so
 # that replaced hosts don't leave sockets behind.
-IDLE_AFTER = 60.0
+IDLE_TIMEOUT_SECONDS = 60.0
 # Frames that one turn of the loop takes in before timers and HTTP get theirs.
-FRAMES_A_TURN = 200
+MAX_FRAMES_PER_TURN = 200
 
 # Messages for a peer that is not connected (yet) are held this long: some tries
 # to connect, and less than the age at which they are refused.
-HELD_FOR = 0.5
+MAX_HOLD_SECONDS = 0.5
 # How long frames that were handed to ZeroMQ may take to leave at the end.
 LINGER_MS = 200
 # A peer that doesn't connect is tried again after this, doubled each time. With a part
 # of the hosts gone, tries at a fixed pace would leave the living ones little time.
-RETRY_AFTER = 0.005
-RETRY_AFTER_AT_MOST = 0.04
+MIN_RETRY_SECONDS = 0.005
+MAX_RETRY_SECONDS = 0.04
 
 # A plain number: the library's own flags are slow to compare.
 READABLE = int(zmq.POLLIN)
@@ -86,7 +86,7 @@
         address: str,
         on_message: Callable[[str, object], None],
         count: Callable[[str, int], None],
-        keys: Keys | None = None,
+        keys: CurveKeys | None = None,
         listen: str = "",
         *,
         codec,
@@ -95,7 +95,7 @@
     ) -> None:
         self.clock = clock
         self.address = address
-        self.listen = endpoint_of(listen or address)
+        self.listen = strip_key(listen or address)
         self.on_message = on_message
         self.count = count
         self.keys = keys
@@ -104,8 +104,8 @@
         self.context = zmq.Context()
         self.peers: dict[str, Peer] = {}
         self.dirty: set[str] = set()
-        self.retrying = False
-        self.retry_after = RETRY_AFTER
+        self.retry_scheduled = False
+        self.retry_delay = MIN_RETRY_SECONDS
         self.inbound: zmq.Socket | None = None
         self.loop: asyncio.AbstractEventLoop | None = None
 
@@ -167,39 +167,39 @@
         try:
             peer.socket.send(frame, zmq.DONTWAIT, copy=False)
         except zmq.Again:
-            self._keep_waiting(address, peer)
+            self._hold_messages(address, peer)
             return
         peer.waiting = []
         self.count("transport.frames_sent", 1)
         self.count("transport.bytes_sent", len(frame))
 
-    def _keep_waiting(self, address: str, peer: Peer) -> None:
+    def _hold_messages(self, address: str, peer: Peer) -> None:
         """Hold messages for a connection that is being made, not for long.
 
         The first message to a process would be lost without it: a connection
         takes a round trip or more. What waits longer is for a process that is
         gone, and would be refused as stale by the next one at its address.
         """
-        if self.clock() - peer.since > HELD_FOR:
+        if self.clock() - peer.since > MAX_HOLD_SECONDS:
             self.count("transport.dropped", len(peer.waiting))
             peer.waiting = []
             return
         self.dirty.add(address)
-        if not self.retrying:
-            self.retrying = True
-            self.loop.call_later(self.retry_after, self._retry)
+        if not self.retry_scheduled:
+            self.retry_scheduled = True
+            self.loop.call_later(self.retry_delay, self._retry)
 
     def _retry(self) -> None:
-        self.retrying = False
-        self.retry_after = min(RETRY_AFTER_AT_MOST, 2 * self.retry_after)
+        self.retry_scheduled = False
+        self.retry_delay = min(MAX_RETRY_SECONDS, 2 * self.retry_delay)
         self.flush()
-        if not self.retrying:
-            self.retry_after = RETRY_AFTER
+        if not self.retry_scheduled:
+            self.retry_delay = MIN_RETRY_SECONDS
 
     def close_idle(self, now: float) -> None:
         """Close the sockets towards peers that are spoken to no more."""
         for address, peer in list(self.peers.items()):
-            if now - peer.used_at > IDLE_AFTER and not peer.waiting:
+            if now - peer.used_at > IDLE_TIMEOUT_SECONDS and not peer.waiting:
                 peer.socket.close(linger=0)
                 del self.peers[address]
 
@@ -217,13 +217,13 @@
         # next one at its address long after they meant anything.
         socket.immediate = 1
         socket.reconnect_ivl = RECONNECT_MS
-        socket.reconnect_ivl_max = RECONNECT_MAXIMUM_MS
+        socket.reconnect_ivl_max = MAX_RECONNECT_MS
         self._set_heartbeat(socket)
         if self.keys is not None and not self.keys.protect_client(socket, address):
             socket.close()
             self.count("transport.key_refused", 1)
             return None
-        socket.connect(endpoint_of(address))
+        socket.connect(strip_key(address))
         return socket
 
     def _set_heartbeat(self, socket: zmq.Socket) -> None:
@@ -236,16 +236,16 @@
     def _on_readable(self) -> None:
         if self.inbound is None or self.inbound.closed:
             return
-        for _ in range(FRAMES_A_TURN):
+        for _ in range(MAX_FRAMES_PER_TURN):
             # Asked first, since an exception at the end of each turn costs more than
             # the frames that most turns bring.
             if not self.inbound.get(zmq.EVENTS) & READABLE:
                 return
-            self._take(self.inbound.recv(zmq.DONTWAIT))
+            self._handle_frame(self.inbound.recv(zmq.DONTWAIT))
         # More may wait, and the descriptor won't say so again.
         self.loop.call_soon(self._on_readable)
 
-    def _take(self, frame: bytes) -> None:
+    def _handle_frame(self, frame: bytes) -> None:
         self.count("transport.frames_received", 1)
         try:
             envelope = self.codec.decode(frame)
@@ -256,6 +256,6 @@
             self.on_message(envelope.sender, message)
 
 
-def endpoint_of(address: str) -> str:
+def strip_key(address: str) -> str:
     """Return the part of an address that ZeroMQ connects to."""
     return address.split(KEY_SEPARATOR)[0]
--- a/src/cactuswalk/settings/agent.py
+++ b/src/cactuswalk/settings/agent.py
@@ -6,11 +6,11 @@
 
 from cactuswalk.settings.converters import (
     NAME_REMEDY,
+    integer,
     is_name,
     loopback_address,
     message_address,
     name,
-    number,
     one_of,
 )
 from cactuswalk.settings.reader import Reader
@@ -46,7 +46,7 @@
 DEFAULT_PING_PERIOD_MS = 250
 
 # One lost ping must not cost an owner its standing.
-LEAST_PINGS_IN_PERIOD = 3
+MIN_PINGS_PER_PERIOD = 3
 
 
 class AgentSettings(msgspec.Struct):
@@ -99,13 +99,13 @@
         http=read_http(reader, "http", loopback_address),
         retention_seconds=read_retention_seconds(reader),
         retention_bytes=reader.get(
-            "retention", "bytes", number(1 << 16, 1 << 30), DEFAULT_RETENTION_BYTES
+            "retention", "bytes", integer(1 << 16, 1 << 30), DEFAULT_RETENTION_BYTES
         ),
         confirm_period_ms=reader.get(
-            "cell", "confirm_period_ms", number(100, 60_000), DEFAULT_CONFIRM_PERIOD_MS
+            "cell", "confirm_period_ms", integer(100, 60_000), DEFAULT_CONFIRM_PERIOD_MS
         ),
         ping_period_ms=reader.get(
-            "cell", "ping_period_ms", number(20, 20_000), DEFAULT_PING_PERIOD_MS
+            "cell", "ping_period_ms", integer(20, 20_000), DEFAULT_PING_PERIOD_MS
         ),
         key_value=read_key_value(reader),
         peers=read_peers(reader),
@@ -115,7 +115,7 @@
         guard=reader.get("guard", "enabled", one_of("yes", "no"), "yes") == "yes",
     )
     _check_periods(reader, settings)
-    reader.finish()
+    reader.raise_if_invalid()
     return settings
 
 
@@ -123,7 +123,7 @@
     labels = {}
     for key, value in reader.items("labels"):
         if not is_name(key) or not is_name(value):
-            reader.note("labels", key, value, "is no label", NAME_REMEDY)
+            reader.add_mistake("labels", key, value, "is no label", NAME_REMEDY)
             continue
         labels[key] = value
     return labels
@@ -131,13 +131,13 @@
 
 def _check_periods(reader: Reader, settings: AgentSettings) -> None:
     pings = settings.confirm_period_ms // settings.ping_period_ms
-    if pings >= LEAST_PINGS_IN_PERIOD:
+    if pings >= MIN_PINGS_PER_PERIOD:
         return
-    highest = settings.confirm_period_ms // LEAST_PINGS_IN_PERIOD
-    reader.note(
+    max_period_ms = settings.confirm_period_ms // MIN_PINGS_PER_PERIOD
+    reader.add_mistake(
         "cell",
         "ping_period_ms",
         str(settings.ping_period_ms),
-        f"leaves fewer than {LEAST_PINGS_IN_PERIOD} pings in a confirm period",
-        f"Give at most {highest}, or raise confirm_period_ms.",
+        f"leaves fewer than {MIN_PINGS_PER_PERIOD} pings in a confirm period",
+        f"Give at most {max_period_ms}, or raise confirm_period_ms.",
     )
--- a/src/cactuswalk/settings/converters.py
+++ b/src/cactuswalk/settings/converters.py
@@ -10,17 +10,17 @@
 
 __all__ = [
     "NAME_REMEDY",
-    "each",
+    "list_of",
     "existing_file",
     "ip_address",
     "is_name",
     "loopback_address",
     "message_address",
     "name",
-    "number",
+    "integer",
     "one_of",
     "peer_address",
-    "text",
+    "non_empty_text",
     "token_digest",
     "url",
     "z85_key",
@@ -36,34 +36,34 @@
 _SHA256 = re.compile(r"[0-9a-f]{64}")
 
 
-def text(written: str) -> str:
+def non_empty_text(raw: str) -> str:
     """Take any text that is not empty."""
-    if not written:
+    if not raw:
         raise RejectedValueError("is empty", "Give a value or remove the line.")
-    return written
+    return raw
 
 
-def is_name(written: str) -> bool:
+def is_name(raw: str) -> bool:
     """Say whether a text can name something."""
-    return _NAME.fullmatch(written) is not None
+    return _NAME.fullmatch(raw) is not None
 
 
-def name(written: str) -> str:
+def name(raw: str) -> str:
     """Take a name."""
-    if not is_name(written):
+    if not is_name(raw):
         raise RejectedValueError("is no name", NAME_REMEDY)
-    return written
+    return raw
 
 
-def number(lowest: int, highest: int) -> Callable[[str], int]:
+def integer(minimum: int, maximum: int) -> Callable[[str], int]:
     """Return a converter of whole numbers within two bounds."""
 
-    def convert(written: str) -> int:
-        remedy = f"Give a whole number from {lowest} to {highest}."
-        if not re.fullmatch(r"-?[0-9]{1,18}", written):
+    def convert(raw: str) -> int:
+        remedy = f"Give a whole number from {minimum} to {maximum}."
+        if not re.fullmatch(r"-?[0-9]{1,18}", raw):
             raise RejectedValueError("is no whole number", remedy)
-        value = int(written)
-        if not lowest <= value <= highest:
+        value = int(raw)
+        if not minimum <= value <= maximum:
             raise RejectedValueError("is out of bounds", remedy)
         return value
 
@@ -73,48 +73,48 @@
 def one_of(*choices: str) -> Callable[[str], str]:
     """Return a converter that takes one of some words."""
 
-    def convert(written: str) -> str:
-        if written not in choices:
+    def convert(raw: str) -> str:
+        if raw not in choices:
             raise RejectedValueError(
                 "is no choice", f"Give one of: {', '.join(choices)}."
             )
-        return written
+        return raw
 
     return convert
 
 
-def each(convert: Callable[[str], str]) -> Callable[[str], list[str]]:
+def list_of(convert: Callable[[str], str]) -> Callable[[str], list[str]]:
     """Return a converter of lists, separated by commas or white space."""
 
-    def convert_all(written: str) -> list[str]:
-        return [convert(part) for part in re.split(r"[,\s]+", written) if part]
+    def convert_all(raw: str) -> list[str]:
+        return [convert(part) for part in re.split(r"[,\s]+", raw) if part]
 
     return convert_all
 
 
-def ip_address(written: str) -> str:
+def ip_address(raw: str) -> str:
     """Take an IP number; host names are not looked up."""
     try:
-        return str(ipaddress.ip_address(written))
+        return str(ipaddress.ip_address(raw))
     except ValueError:
         remedy = "Give an IP number such as 127.0.0.1; names are not looked up."
         raise RejectedValueError("is no IP number", remedy) from None
 
 
-def loopback_address(written: str) -> str:
+def loopback_address(raw: str) -> str:
     """Take an IP number of the loopback."""
-    address = ip_address(written)
+    address = ip_address(raw)
     if not ipaddress.ip_address(address).is_loopback:
         remedy = "Give 127.0.0.1: only the upstream beside the agent may announce."
         raise RejectedValueError("is not on the loopback", remedy)
     return address
 
 
-def message_address(written: str) -> str:
+def message_address(raw: str) -> str:
     """Take ``tcp://ip:port`` as another process would reach it."""
     remedy = "Write tcp://IP:PORT, such as tcp://10.1.0.4:7000, with a port above 0."
     try:
-        parts = urlsplit(written)
+        parts = urlsplit(raw)
         host, port = parts.hostname, parts.port
         address = ipaddress.ip_address(host or "")
     except ValueError:
@@ -125,38 +125,38 @@
     if address.is_unspecified:
         remedy = "Give the IP number at which the other processes reach this one."
         raise RejectedValueError("can't be reached by others", remedy)
-    return written
+    return raw
 
 
-def peer_address(written: str) -> str:
+def peer_address(raw: str) -> str:
     """Take a message address, with the public key to be found there if any."""
-    address, separator, key = written.partition("?key=")
+    address, separator, key = raw.partition("?key=")
     if separator and not _CURVE_HEX.fullmatch(key):
         remedy = "Write tcp://IP:PORT?key=HEX, as docs/operations/settings.md shows."
         raise RejectedValueError("names no public key", remedy)
     message_address(address)
-    return written
+    return raw
 
 
-def url(written: str) -> str:
+def url(raw: str) -> str:
     """Take an ``http://`` or ``https://`` address without a path."""
     remedy = "Write http://IP:PORT or https://IP:PORT."
     try:
-        parts = urlsplit(written)
+        parts = urlsplit(raw)
         known = parts.scheme in ("http", "https") and parts.hostname
         _ = parts.port
     except ValueError:
         known = False
     if not known or parts.path.strip("/") or parts.query or parts.fragment:
         raise RejectedValueError("is no endpoint", remedy)
-    return written.rstrip("/")
+    return raw.rstrip("/")
 
 
-def existing_file(written: str) -> str:
+def existing_file(raw: str) -> str:
     """Take the path of a file that can be read."""
     try:
-        with Path(written).open("rb"):
-            return written
+        with Path(raw).open("rb"):
+            return raw
     except OSError as error:
         remedy = "Give the path of a file that this process may read."
         raise RejectedValueError(
@@ -164,17 +164,17 @@
         ) from None
 
 
-def token_digest(written: str) -> str:
+def token_digest(raw: str) -> str:
     """Take the SHA-256 of a token in hexadecimal."""
-    if not _SHA256.fullmatch(written):
+    if not _SHA256.fullmatch(raw):
         remedy = "Give 64 hexadecimal digits: printf %s TOKEN | sha256sum."
         raise RejectedValueError("is no SHA-256 of a token", remedy)
-    return written
+    return raw
 
 
-def z85_key(written: str) -> str:
+def z85_key(raw: str) -> str:
     """Take a CURVE key in ZeroMQ's Z85 text."""
-    if not _Z85.fullmatch(written):
+    if not _Z85.fullmatch(raw):
         remedy = "Give the 40 characters that zmq.curve_keypair() returns."
         raise RejectedValueError("is no CURVE key", remedy)
-    return written
+    return raw
--- a/src/cactuswalk/settings/dispatch.py
+++ b/src/cactuswalk/settings/dispatch.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cactuswalk.settings.converters import each, name, number, text
+from cactuswalk.settings.converters import integer, list_of, name, non_empty_text
 from cactuswalk.settings.reader import Reader, RejectedValueError
 from cactuswalk.settings.shared import (
     LogSettings,
@@ -25,9 +25,9 @@
     "load_dispatch_entry",
 ]
 
-MOST_SECONDS = 86_400
-MOST_DRAIN_MS = 600_000
-MOST_FACTOR = 100.0
+MAX_GRACE_SECONDS = 86_400
+MAX_DRAIN_MS = 600_000
+MAX_FAR_FACTOR = 100.0
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -94,10 +94,10 @@
     settings = DispatchEntrySettings(
         callers=reader.get("callers", "address", endpoint),
         readiness=reader.get("readiness", "address", endpoint),
-        far_factor=reader.get("bounds", "far_factor", decimal(1, MOST_FACTOR), 1.0),
+        far_factor=reader.get("bounds", "far_factor", decimal(1, MAX_FAR_FACTOR), 1.0),
         **_read_common(reader),
     )
-    reader.finish()
+    reader.raise_if_invalid()
     return settings
 
 
@@ -110,12 +110,12 @@
     settings = DispatchAgentSettings(
         announcements=reader.get("announcements", "address", endpoint),
         worker=reader.get("worker", "address", endpoint),
-        service=reader.get("worker", "service", text),
-        drain_seconds=reader.get("bounds", "drain_ms", decimal(0, MOST_DRAIN_MS), 0.0)
+        service=reader.get("worker", "service", non_empty_text),
+        drain_seconds=reader.get("bounds", "drain_ms", decimal(0, MAX_DRAIN_MS), 0.0)
         / 1000,
         **_read_common(reader),
     )
-    reader.finish()
+    reader.raise_if_invalid()
     return settings
 
 
@@ -130,16 +130,16 @@
         "seeds": _read_seeds(reader, messages.port),
         "store": reader.get("store", "address", endpoint),
         "grace_seconds": reader.get(
-            "bounds", "grace_seconds", decimal(1, MOST_SECONDS)
+            "bounds", "grace_seconds", decimal(1, MAX_GRACE_SECONDS)
         ),
         "statsd": read_statsd(reader),
         "logs": read_logs(reader),
     }
 
 
-def endpoint(written: str) -> Endpoint:
+def endpoint(raw: str) -> Endpoint:
     """Take ``ip:port``."""
-    host, _, port = written.rpartition(":")
+    host, _, port = raw.rpartition(":")
     if not host or not port.isdigit():
         raise RejectedValueError(
             "is no address", "Write IP:PORT, such as 10.1.0.4:8161."
@@ -147,16 +147,16 @@
     return Endpoint(host, int(port))
 
 
-def decimal(lowest: float, highest: float):
+def decimal(minimum: float, maximum: float):
     """Return a converter of numbers within two bounds."""
 
-    def convert(written: str) -> float:
-        remedy = f"Give a number from {lowest} to {highest}."
+    def convert(raw: str) -> float:
+        remedy = f"Give a number from {minimum} to {maximum}."
         try:
-            value = float(written)
+            value = float(raw)
         except ValueError:
             raise RejectedValueError("is no number", remedy) from None
-        if not lowest <= value <= highest:
+        if not minimum <= value <= maximum:
             raise RejectedValueError("is out of bounds", remedy)
         return value
 
@@ -165,14 +165,14 @@
 
 def _read_messages(reader: Reader) -> Endpoint:
     """Read where messages arrive: the first of the ports that are free for it."""
-    host = reader.get("messages", "host", text, "")
-    ports = reader.get("messages", "ports", each(number(1, 65_535)), [0])
+    host = reader.get("messages", "host", non_empty_text, "")
+    ports = reader.get("messages", "ports", list_of(integer(1, 65_535)), [0])
     return Endpoint(host, ports[0])
 
 
 def _read_seeds(reader: Reader, port: int) -> list[str]:
     """Read some entries' addresses; their message port is the same as this one's."""
-    seeds = reader.get("messages", "seeds", each(endpoint), [])
+    seeds = reader.get("messages", "seeds", list_of(endpoint), [])
     return [message_url(Endpoint(seed.host, port)) for seed in seeds]
 
 
--- a/src/cactuswalk/settings/entry.py
+++ b/src/cactuswalk/settings/entry.py
@@ -6,11 +6,11 @@
 
 from cactuswalk.settings.converters import (
     NAME_REMEDY,
-    each,
+    integer,
     is_name,
+    list_of,
     message_address,
     name,
-    number,
     token_digest,
 )
 from cactuswalk.settings.reader import Reader, RejectedValueError
@@ -45,7 +45,7 @@
 DEFAULT_DEADLINE_MS = 10_000
 
 # A caller that wants to wait longer asks again with the same key.
-DEFAULT_MAXIMUM_DEADLINE_MS = 60_000
+DEFAULT_MAX_DEADLINE_MS = 60_000
 
 
 class LimitSettings(msgspec.Struct):
@@ -116,38 +116,38 @@
         logs=read_logs(reader),
     )
     _check_addresses(reader, settings)
-    reader.finish()
+    reader.raise_if_invalid()
     return settings
 
 
 def _read_operators_http(reader: Reader) -> HttpSettings | None:
-    if not reader.has("operators_http"):
+    if not reader.allow_section("operators_http"):
         return None
     return read_http(reader, "operators_http")
 
 
 def _read_limits(reader: Reader) -> LimitSettings:
     section = "limits"
-    reader.has(section)
+    reader.allow_section(section)
     limits = LimitSettings(
         body_bytes=reader.get(
-            section, "body_bytes", number(1, 64 << 20), DEFAULT_BODY_BYTES
+            section, "body_bytes", integer(1, 64 << 20), DEFAULT_BODY_BYTES
         ),
         waiting_requests=reader.get(
-            section, "waiting_requests", number(1, 100_000), DEFAULT_WAITING_REQUESTS
+            section, "waiting_requests", integer(1, 100_000), DEFAULT_WAITING_REQUESTS
         ),
         default_deadline_ms=reader.get(
-            section, "default_deadline_ms", number(1, 3_600_000), DEFAULT_DEADLINE_MS
+            section, "default_deadline_ms", integer(1, 3_600_000), DEFAULT_DEADLINE_MS
         ),
         maximum_deadline_ms=reader.get(
             section,
             "maximum_deadline_ms",
-            number(1, 3_600_000),
-            DEFAULT_MAXIMUM_DEADLINE_MS,
+            integer(1, 3_600_000),
+            DEFAULT_MAX_DEADLINE_MS,
         ),
     )
     if limits.default_deadline_ms > limits.maximum_deadline_ms:
-        reader.note(
+        reader.add_mistake(
             section,
             "default_deadline_ms",
             str(limits.default_deadline_ms),
@@ -164,17 +164,17 @@
     lines = reader.items(section)
     if not lines:
         remedy = "Add a line 'CALLER = TEAM, SHA256-OF-TOKEN' for each caller."
-        reader.note(section, "", "", "names no caller", remedy)
-    for caller, written in lines:
-        team, _, digests = written.partition(",")
+        reader.add_mistake(section, "", "", "names no caller", remedy)
+    for caller, raw in lines:
+        team, _, digests = raw.partition(",")
         team = team.strip()
         if not is_name(caller) or not is_name(team):
             reason = "names no caller and team"
             remedy = f"Write 'CALLER = TEAM, SHA256'. {NAME_REMEDY}"
-            reader.note(section, caller, "", reason, remedy)
+            reader.add_mistake(section, caller, "", reason, remedy)
             continue
         for digest in _read_digests(reader, section, caller, digests):
-            _add_once(reader, section, caller, callers, digest)
+            _check_not_repeated(reader, section, caller, callers, digest)
             callers.setdefault(digest, CallerIdentity(caller, team))
     return callers
 
@@ -186,34 +186,36 @@
     lines = reader.items(section)
     if reader.parser.has_section("operators_http") and not lines:
         remedy = "Add a line 'OPERATOR = SHA256-OF-TOKEN' for each operator."
-        reader.note(section, "", "", "names no operator", remedy)
-    for operator, written in lines:
+        reader.add_mistake(section, "", "", "names no operator", remedy)
+    for operator, raw in lines:
         if not is_name(operator):
-            reader.note(section, operator, "", "is no name", NAME_REMEDY)
+            reader.add_mistake(section, operator, "", "is no name", NAME_REMEDY)
             continue
-        for digest in _read_digests(reader, section, operator, written):
-            _add_once(reader, section, operator, operators, digest)
+        for digest in _read_digests(reader, section, operator, raw):
+            _check_not_repeated(reader, section, operator, operators, digest)
             operators.setdefault(digest, operator)
     return operators
 
 
-def _read_digests(reader: Reader, section: str, key: str, written: str) -> list[str]:
+def _read_digests(reader: Reader, section: str, key: str, raw: str) -> list[str]:
     # A token itself, pasted where its digest belongs, must not reach a log.
     try:
-        digests = each(token_digest)(written)
+        digests = list_of(token_digest)(raw)
     except RejectedValueError as rejected:
-        reader.note(section, key, "", rejected.message, rejected.remedy)
+        reader.add_mistake(section, key, "", rejected.message, rejected.remedy)
         return []
     if not digests:
         remedy = "Give the SHA-256 of the token: printf %s TOKEN | sha256sum."
-        reader.note(section, key, "", "has no token", remedy)
+        reader.add_mistake(section, key, "", "has no token", remedy)
     return digests
 
 
-def _add_once(reader: Reader, section: str, key: str, known: dict, digest: str) -> None:
-    if digest in known:
+def _check_not_repeated(
+    reader: Reader, section: str, key: str, by_digest: dict, digest: str
+) -> None:
+    if digest in by_digest:
         remedy = "Give each its own token; two can't be told apart by one."
-        reader.note(section, key, "", "repeats another one's token", remedy)
+        reader.add_mistake(section, key, "", "repeats another one's token", remedy)
 
 
 def _check_addresses(reader: Reader, settings: EntrySettings) -> None:
@@ -222,6 +224,6 @@
         return
     if (operators.host, operators.port) == (settings.http.host, settings.http.port):
         remedy = "Give callers and operators a port each."
-        reader.note(
+        reader.add_mistake(
             "operators_http", "port", str(operators.port), "is the callers'", remedy
         )
--- a/src/cactuswalk/settings/reader.py
+++ b/src/cactuswalk/settings/reader.py
@@ -31,8 +31,8 @@
     def show(self) -> str:
         """Return the mistake as one line and its remedy as another."""
         place = f"[{self.section}] {self.key}".strip()
-        written = f" = {self.value}" if self.value else ""
-        return f"{place}{written}: {self.reason}\n    Remedy: {self.remedy}"
+        raw = f" = {self.value}" if self.value else ""
+        return f"{place}{raw}: {self.reason}\n    Remedy: {self.remedy}"
 
 
 class InvalidSettingsError(SettingsError):
@@ -67,7 +67,7 @@
         self.asked: dict[str, set[str] | None] = {}
         self.parser = self._parse()
 
-    def has(self, section: str) -> bool:
+    def allow_section(self, section: str) -> bool:
         """Say whether an optional section is there; it is known from now on."""
         self.asked.setdefault(section, set())
         return self.parser.has_section(section)
@@ -91,16 +91,18 @@
         if keys is not None:
             keys.add(key)
         fallback = None if default is _REQUIRED else default
-        written = self.parser.get(section, key, fallback=None)
-        if written is None:
+        raw = self.parser.get(section, key, fallback=None)
+        if raw is None:
             if default is _REQUIRED:
-                self.note(section, key, "", "is missing", f"Add a line '{key} = ...'.")
+                self.add_mistake(
+                    section, key, "", "is missing", f"Add a line '{key} = ...'."
+                )
             return fallback
         try:
-            return convert(written.strip())
+            return convert(raw.strip())
         except RejectedValueError as rejected:
-            shown = "" if secret else written.strip()
-            self.note(section, key, shown, rejected.message, rejected.remedy)
+            shown = "" if secret else raw.strip()
+            self.add_mistake(section, key, shown, rejected.message, rejected.remedy)
             return fallback
 
     def items(self, section: str) -> list[tuple[str, str]]:
@@ -110,13 +112,13 @@
             return []
         return [(key, value.strip()) for key, value in self.parser.items(section)]
 
-    def note(
+    def add_mistake(
         self, section: str, key: str, value: str, reason: str, remedy: str
     ) -> None:
         """Note a mistake."""
         self.mistakes.append(Mistake(section, key, value, reason, remedy))
 
-    def finish(self) -> None:
+    def raise_if_invalid(self) -> None:
         """Note what nobody asked for, and raise if there are mistakes.
 
         A misspelt option would otherwise leave a default in force unseen.
@@ -124,7 +126,7 @@
         for section in self.parser.sections():
             if section not in self.asked:
                 remedy = _suggest(section, list(self.asked), "section")
-                self.note(section, "", "", "is no section of this file", remedy)
+                self.add_mistake(section, "", "", "is no section of this file", remedy)
                 continue
             keys = self.asked[section]
             if keys is not None:
@@ -136,7 +138,9 @@
         for key in self.parser.options(section):
             if key not in keys:
                 remedy = _suggest(key, sorted(keys), "option")
-                self.note(section, key, "", "is no option of this section", remedy)
+                self.add_mistake(
+                    section, key, "", "is no option of this section", remedy
+                )
 
     def _parse(self) -> configparser.ConfigParser:
         try:
@@ -144,7 +148,7 @@
         except (OSError, UnicodeDecodeError) as error:
             reason = f"can't be read: {error}"
             remedy = "Give the path of a readable UTF-8 file."
-            self.note("file", "", "", reason, remedy)
+            self.add_mistake("file", "", "", reason, remedy)
             raise InvalidSettingsError(self.path, self.mistakes) from error
         try:
             return _parse_ini(text, strict=True)
@@ -154,15 +158,15 @@
         ) as error:
             key = getattr(error, "option", "")
             reason = f"stands twice, again on line {error.lineno}"
-            self.note(error.section, key, "", reason, "Keep one of the two.")
+            self.add_mistake(error.section, key, "", reason, "Keep one of the two.")
         except configparser.Error as error:
-            self._refuse(error)
+            self._raise_not_ini(error)
         try:
             return _parse_ini(text, strict=False)
         except configparser.Error as error:
-            self._refuse(error)
+            self._raise_not_ini(error)
 
-    def _refuse(self, error: configparser.Error) -> None:
+    def _raise_not_ini(self, error: configparser.Error) -> None:
         """Give up on a file that is no INI; the rest of it can't be told.
 
         The parser's message repeats lines of the file, which may hold a secret,
@@ -174,7 +178,7 @@
             lines = [line for line, _ in getattr(error, "errors", [])]
         where = ", ".join(str(line) for line in lines) or "unknown"
         remedy = "Write '[section]' lines and 'key = value' lines only."
-        self.note("file", "", "", f"is no INI, see line {where}", remedy)
+        self.add_mistake("file", "", "", f"is no INI, see line {where}", remedy)
         raise InvalidSettingsError(self.path, self.mistakes) from error
 
 
--- a/src/cactuswalk/settings/retention.py
+++ b/src/cactuswalk/settings/retention.py
@@ -1,6 +1,6 @@
 """How long the record of a start is kept, at entries and agents alike."""
 
-from cactuswalk.settings.converters import number
+from cactuswalk.settings.converters import integer
 from cactuswalk.settings.reader import Reader
 
 __all__ = ["read_retention_seconds"]
@@ -16,7 +16,7 @@
     An entry with a longer window than the agents would ask for answers that
     they have dropped, and take their silence for "never started".
     """
-    reader.has("retention")
+    reader.allow_section("retention")
     return reader.get(
-        "retention", "seconds", number(30, 86_400), DEFAULT_RETENTION_SECONDS
+        "retention", "seconds", integer(30, 86_400), DEFAULT_RETENTION_SECONDS
     )
--- a/src/cactuswalk/settings/shared.py
+++ b/src/cactuswalk/settings/shared.py
@@ -3,14 +3,14 @@
 import msgspec
 
 from cactuswalk.settings.converters import (
-    each,
     existing_file,
+    integer,
     ip_address,
+    list_of,
     message_address,
-    number,
+    non_empty_text,
     one_of,
     peer_address,
-    text,
     url,
     z85_key,
 )
@@ -90,7 +90,7 @@
     """Read where to listen."""
     settings = HttpSettings(
         host=reader.get(section, "host", host, "127.0.0.1"),
-        port=reader.get(section, "port", number(0, 65_535)),
+        port=reader.get(section, "port", integer(0, 65_535)),
         tls_certificate=reader.get(section, "tls_certificate", existing_file, ""),
         tls_key=reader.get(section, "tls_key", existing_file, ""),
     )
@@ -101,22 +101,22 @@
         missing = "tls_certificate"
     if missing and not reader.parser.has_option(section, missing):
         remedy = "Give both TLS paths or neither."
-        reader.note(section, missing, "", "is missing", remedy)
+        reader.add_mistake(section, missing, "", "is missing", remedy)
     return settings
 
 
 def read_key_value(reader: Reader) -> KeyValueSettings:
     """Read how to reach the key-value service."""
     section = "key_value"
-    endpoints = reader.get(section, "endpoints", each(url))
+    endpoints = reader.get(section, "endpoints", list_of(url))
     if endpoints == []:
         remedy = "Give at least one http://IP:PORT."
-        reader.note(section, "endpoints", "", "is empty", remedy)
+        reader.add_mistake(section, "endpoints", "", "is empty", remedy)
     return KeyValueSettings(
         endpoints=endpoints,
-        prefix=reader.get(section, "prefix", text, "/cactuswalk/"),
+        prefix=reader.get(section, "prefix", non_empty_text, "/cactuswalk/"),
         timeout_ms=reader.get(
-            section, "timeout_ms", number(50, 60_000), DEFAULT_KEY_VALUE_TIMEOUT_MS
+            section, "timeout_ms", integer(50, 60_000), DEFAULT_KEY_VALUE_TIMEOUT_MS
         ),
     )
 
@@ -128,40 +128,42 @@
 
 def read_peers(reader: Reader) -> list[str]:
     """Read whom to ask for the configuration while the service is away."""
-    reader.has("peers")
-    return reader.get("peers", "addresses", each(peer_address), [])
+    reader.allow_section("peers")
+    return reader.get("peers", "addresses", list_of(peer_address), [])
 
 
 def read_curve(reader: Reader) -> CurveSettings | None:
     """Read the keys between processes; None where messages are not encrypted."""
     section = "curve"
-    if not reader.has(section):
+    if not reader.allow_section(section):
         return None
     public_key = reader.get(section, "public_key", z85_key)
     return CurveSettings(
         public_key=public_key,
         secret_key=reader.get(section, "secret_key", z85_key, secret=True),
-        allowed_keys=reader.get(section, "allowed_keys", each(z85_key), [public_key]),
+        allowed_keys=reader.get(
+            section, "allowed_keys", list_of(z85_key), [public_key]
+        ),
     )
 
 
 def read_statsd(reader: Reader) -> StatsdSettings | None:
     """Read where metrics go; None for nowhere."""
     section = "statsd"
-    if not reader.has(section):
+    if not reader.allow_section(section):
         return None
     return StatsdSettings(
         host=reader.get(section, "host", ip_address, "127.0.0.1"),
-        port=reader.get(section, "port", number(1, 65_535), DEFAULT_STATSD_PORT),
-        prefix=reader.get(section, "prefix", text, "cactuswalk"),
+        port=reader.get(section, "port", integer(1, 65_535), DEFAULT_STATSD_PORT),
+        prefix=reader.get(section, "prefix", non_empty_text, "cactuswalk"),
     )
 
 
 def read_logs(reader: Reader) -> LogSettings:
     """Read what is logged and where to."""
     section = "logs"
-    reader.has(section)
+    reader.allow_section(section)
     return LogSettings(
         level=reader.get(section, "level", one_of(*LOG_LEVELS), "info"),
-        destination=reader.get(section, "destination", text, "stderr"),
+        destination=reader.get(section, "destination", non_empty_text, "stderr"),
     )
