--- a/src/cactuswalk/runtime/__init__.py
+++ b/src/cactuswalk/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The one loop, the application object, and what turns effects into I/O."""
+"""The processes: event loop, application object, and the I/O behind effects."""
--- a/src/cactuswalk/runtime/agent.py
+++ b/src/cactuswalk/runtime/agent.py
@@ -1,4 +1,4 @@
-"""The agent's process: its sockets, its upstream, and the node's reducer."""
+"""The agent process: its sockets, its upstream client and the node's reducer."""
 
 import secrets
 import time
@@ -17,12 +17,12 @@
 
 __all__ = ["AgentProcess", "make_timing"]
 
-# How long a stop waits for announcements in flight on the loopback.
+# How long a planned stop waits for announcement requests in flight.
 ANNOUNCEMENT_DRAIN_SECONDS = 1.0
 
 
 def make_timing(settings: AgentSettings) -> Timing:
-    """Return the spans of time that settings give, the others by default."""
+    """Return the time spans from the settings, and defaults for the others."""
     return Timing(
         confirm=settings.confirm_period_ms / 1000,
         ping=settings.ping_period_ms / 1000,
@@ -31,7 +31,7 @@
 
 
 class AgentProcess:
-    """Everything that one agent's process owns."""
+    """Owns the sockets, the upstream client and the state of one agent."""
 
     def __init__(self, settings: AgentSettings) -> None:
         self.settings = settings
@@ -87,7 +87,7 @@
         if self.application.stopping:
             reasons.append("this agent is stopping")
         if self.node.member not in self.node.agent.roster:
-            reasons.append("this agent is not on its cell's roster")
+            reasons.append("this agent is not a member of its cell")
         return reasons
 
     def _call_upstream(self, effect: CallUpstream) -> None:
--- a/src/cactuswalk/runtime/application.py
+++ b/src/cactuswalk/runtime/application.py
@@ -1,7 +1,7 @@
-"""The application object: one loop on one thread, and what lives with it.
+"""The application object: one event loop on one thread, and its subsystems.
 
-Subsystems are started by hooks in order and ended in the reverse order; the
-application owns each of them, so nothing outlives it.
+Hooks start the subsystems in order and stop them in reverse order. The
+application owns all of them, so none outlives it.
 """
 
 import asyncio
@@ -15,27 +15,29 @@
 
 __all__ = ["Application", "Hook"]
 
-# The reducers measure their spans in tenths of seconds.
+# Well below the time spans in the reducers, which are tenths of seconds.
 TICK_SECONDS = 0.05
-# Ticks between two looks for sockets that are spoken to no more.
+# Ticks between two checks for idle sockets.
 IDLE_CHECK_TICKS = 200
 
 Hook = tuple[Callable[[], Awaitable[None]], Callable[[], Awaitable[None]]]
 
 
 class Application:
-    """Runs a reducer: I/O becomes events, effects become I/O.
+    """Runs a reducer: turns I/O into events, and effects into I/O.
 
-    :param name: of the process, for its log lines.
+    :param name: name of the process, for its log lines.
     :param reduce: the reducer, ``(event, now) -> effects``.
-    :param is_stopped: tells whether a planned stop is complete.
-    :param write_log: takes each ``Log`` effect.
+    :param is_stopped: returns whether a planned stop is complete.
+    :param write_log: called with each ``Log`` effect.
     :param metrics: has ``count(name, by)`` and ``gauge(name, value)``.
-    :param tick: makes the reducer's event for the passing of time; ``received``
-        and ``stop_requested`` make theirs.
-    :param may_leave: tells whether a process that is to stop may take nothing new
-        from now on; until then it only says so, and serves on.
-    :param clock: seconds that never go back.
+    :param make_tick: returns the reducer's event for the passage of time.
+    :param make_received: returns the event for a message, from its sender and the
+        message.
+    :param make_stop_requested: returns the event for a requested stop.
+    :param can_stop: returns whether a stopping process may refuse new work from now
+        on; until then it reports itself as not ready but still accepts work.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(
@@ -81,11 +83,11 @@
         start: Callable[[], Awaitable[None]],
         stop: Callable[[], Awaitable[None]],
     ) -> None:
-        """Have a subsystem started with the application, and ended with it."""
+        """Register a subsystem to start and stop with the application."""
         self.hooks.append((start, stop))
 
     def feed(self, event: object) -> None:
-        """Give the reducer an event, and perform what it wants done."""
+        """Pass an event to the reducer and perform the effects it returns."""
         if self.failure is not None:
             return
         now = self.clock()
@@ -101,11 +103,11 @@
             asyncio.get_running_loop().call_soon(self._flush)
 
     def receive(self, sender: str, message) -> None:
-        """Give the reducer a message from another process."""
+        """Pass a message from another process to the reducer."""
         self.feed(self.make_received(sender, message))
 
     def spawn(self, work: Awaitable[None]) -> None:
-        """Run something in the background; it ends with the application."""
+        """Run a coroutine in the background; it is cancelled with the application."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -113,12 +115,12 @@
     async def run(self) -> None:
         """Run until a planned stop is complete.
 
-        :raises BaseException: whatever ended a background task or a reducer.
+        :raises BaseException: the error that ended a background task or a reducer.
         """
         self.ended = asyncio.Event()
-        # A second signal changes nothing: what is in flight is never cut off.
-        # Handlers of the loop's own would be taken away when it is closed, and a
-        # signal in the process's last moments would then kill it.
+        # A second signal has no effect: requests in flight are never cut off.
+        # Not loop.add_signal_handler: the loop removes those handlers when it is
+        # closed, and a signal shortly before exit would then kill the process.
         self.loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
             signal.signal(number, self._on_signal)
@@ -139,18 +141,18 @@
             raise self.failure
 
     def request_stop(self) -> None:
-        """Begin a planned stop: take nothing new, finish everything."""
+        """Begin a planned stop: accept no new work, finish work in flight."""
         if self.stopping:
             return
         self.stopping = True
 
     def _on_signal(self, *_: object) -> None:
-        """Wake the loop; a signal that comes after its end changes nothing."""
+        """Wake the loop; ignore signals after the loop has been closed."""
         if not self.loop.is_closed():
             self.loop.call_soon_threadsafe(self.request_stop)
 
     def _continue_stop(self) -> bool:
-        """Go on with a planned stop; return whether it is complete."""
+        """Continue a planned stop; return whether it is complete."""
         if not self.stop_event_sent and self.can_stop(self.clock()):
             self.stop_event_sent = True
             self.feed(self.make_stop_requested())
@@ -179,13 +181,15 @@
             self._fail(task.exception())
 
     def _fail(self, error: BaseException) -> None:
-        """Stop serving: a promise would be broken by going on."""
+        """Stop the process: continuing could violate a guarantee."""
         if self.failure is not None:
             return
         self.failure = error
         code = getattr(error, "code", "internal")
         self.metrics.count(f"failure.{code}", 1)
         fields = {"process": self.name, "code": code, "reason": str(error)}
-        self.write_log(Log(Part.PROCESS, "stops on a failure", fields), "error")
+        self.write_log(
+            Log(Part.PROCESS, "stops after an internal error", fields), "error"
+        )
         if self.ended is not None:
             self.ended.set()
--- a/src/cactuswalk/runtime/dispatch.py
+++ b/src/cactuswalk/runtime/dispatch.py
@@ -1,4 +1,4 @@
-"""What dispatch entries and agents have in common: log, metrics, messages, HTTP."""
+"""Shared parts of dispatch entries and agents: log, metrics, messages, HTTP."""
 
 import socket
 import time
@@ -23,29 +23,29 @@
 
 __all__ = ["DispatchRuntime", "read_boottime"]
 
-# How often a connection between processes is tried, where TCP itself would take
-# minutes to tell that it went silent. More often, the tries would be as many as the
-# messages.
+# Interval of heartbeats on connections between processes: TCP alone takes minutes to
+# detect a silent connection. With a shorter interval, heartbeats would be as many as
+# the messages.
 HEARTBEAT_MS = 500
 
 
 def read_boottime() -> float:
-    """Return seconds that go on while the host is suspended.
+    """Return seconds of a monotonic clock that includes time in suspension.
 
-    A host that was suspended must find its leases ended when it wakes; the
-    monotonic clock would not have moved.
+    Leases must have expired when a suspended host resumes; ``time.monotonic`` stands
+    still during suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class DispatchRuntime:
-    """The parts of a process that its role does not change.
+    """The parts of a process that don't depend on its role.
 
+    :param part: the prefix of each log line.
     :param reduce: the role's reducer.
-    :param is_stopped: whether a planned stop is complete.
-    :param part: named at the beginning of each log line.
-    :param received: makes the reducer's event of a message; ``tick`` and
-        ``stop_requested`` make theirs.
+    :param is_stopped: returns whether a planned stop is complete.
+    :param make_received: returns the reducer's event for a message; ``make_tick`` and
+        ``make_stop_requested`` return those for time and for a requested stop.
     """
 
     def __init__(
@@ -96,15 +96,15 @@
         handler: Handler,
         listener: socket.socket | None = None,
     ) -> None:
-        """Have an address served for as long as the application runs.
+        """Serve an address for as long as the application runs.
 
-        :param listener: a socket that already listens there.
+        :param listener: a socket that already listens at the address.
         """
         service = HttpService(address, handler, listener)
         self.application.add_hook(service.start, service.stop)
 
     def add_transport(self) -> None:
-        """Have messages taken and sent for as long as the application runs."""
+        """Receive and send messages for as long as the application runs."""
 
         async def start() -> None:
             self.transport.open()
@@ -115,7 +115,7 @@
         self.application.add_hook(start, stop)
 
     def add_store(self) -> None:
-        """Have the store's connections and the log closed at the end."""
+        """Close the store client, metrics and log when the application stops."""
 
         async def start() -> None:
             self._say(Say("starts", {"address": self.transport.address}))
@@ -129,7 +129,7 @@
         self.application.add_hook(start, stop)
 
     def say(self, sentence: str, **fields: object) -> None:
-        """Write a log line of this process."""
+        """Write a log line of this process, with the given fields."""
         self._say(Say(sentence, fields))
 
     def _send(self, effect: SendMessage) -> None:
--- a/src/cactuswalk/runtime/dispatchagent.py
+++ b/src/cactuswalk/runtime/dispatchagent.py
@@ -1,4 +1,4 @@
-"""The process of a dispatch agent."""
+"""The dispatch agent process."""
 
 import functools
 import secrets
@@ -26,15 +26,15 @@
 
 __all__ = ["DispatchAgentProcess"]
 
-# A draining worker is given nothing for so long before that has to have ended: an
-# entry's start and the call to the worker are on their way.
+# A draining worker gets no new tasks during this time before its drain deadline: the
+# entry's start message and the call to the worker take time too.
 DRAIN_MARGIN_SECONDS = 1.0
 
 
 class DispatchAgentProcess:
-    """Runs the agent beside one worker.
+    """Runs the agent of one worker.
 
-    :param listener: for the worker's heartbeats, where one listens already.
+    :param listener: a socket that already listens for the worker's heartbeats.
     """
 
     def __init__(
@@ -42,9 +42,9 @@
     ) -> None:
         self.settings = settings
         self.listener = listener
-        # Only an earlier life of this agent has given the worker a token, and the
-        # time of day was earlier then; a clock that was set back shows at the
-        # worker, which refuses (AgentState raises the token).
+        # Only an earlier incarnation of this agent has given the worker a token, from
+        # an earlier time of day. If the clock was set back since, the worker refuses
+        # the token, and AgentState raises it.
         token = int(time.time() * 1000)
         self.state = AgentState(
             secrets.token_hex(4),
@@ -93,13 +93,13 @@
         await self.application.run()
 
     def is_stopped(self) -> bool:
-        """Return whether everything is finished, or time is up."""
+        """Return whether all work is finished or the stop deadline has passed."""
         return (
             self.state.is_idle(read_boottime()) or read_boottime() >= self.state.stop_by
         )
 
     async def _feed_first_tick(self) -> None:
-        """Look for the entries at once, not when the first tick comes 50 ms later."""
+        """Look up the entries at once, not at the first tick 50 ms later."""
         self.application.feed(Tick())
 
     def _spawn_call(self, work: Awaitable) -> None:
@@ -112,10 +112,10 @@
         try:
             _, items = await self.runtime.store.list(ENTRIES_PREFIX, allow_stale=True)
         except PlatformError as error:
-            self.runtime.say("can't learn of entries", reason=str(error))
+            self.runtime.say("can't read the list of entries", reason=str(error))
             return EntriesRead(None)
         read = [decode_member(item.value) for item in items]
         return EntriesRead([member for member in read if member is not None])
 
     def _log_unusable_heartbeat(self, error: PlatformError) -> None:
-        self.runtime.say("a heartbeat can't be used", reason=error.message)
+        self.runtime.say("rejects a heartbeat of the worker", reason=error.message)
--- a/src/cactuswalk/runtime/dispatchentry.py
+++ b/src/cactuswalk/runtime/dispatchentry.py
@@ -1,4 +1,4 @@
-"""The process of a dispatch entry."""
+"""The dispatch entry process."""
 
 import asyncio
 import functools
@@ -51,20 +51,22 @@
 
 __all__ = ["DispatchEntryProcess"]
 
-# A watch that waits is a call like others; and a connection that went silent for
-# good is noticed no sooner than this. A change has two seconds to be in force.
+# Long-poll times of the watches: shorter ones cost more calls, and with longer ones a
+# silent connection is detected later. An operator's change has to be in force within
+# two seconds.
 OPERATORS_WATCH_SECONDS = 1.2
 ENTRIES_WATCH_SECONDS = 4.0
 
-# The balancer asks once a second and turns away after two misses; a stopping
-# entry that leaves sooner would break connections that are still given to it.
+# The balancer checks readiness once a second and removes an entry after two failures.
+# An entry that exits sooner would break connections that it still receives.
 BALANCER_NOTICE_SECONDS = 3.0
 
-# A key that isn't given up goes with its lease; the process has to be gone by then.
+# Time limit for removing the entry's key at a stop. A key that isn't removed expires
+# with its lease; the process has to have exited by then.
 DEREGISTER_TIMEOUT_SECONDS = 0.2
 
-# An entry that starts meets its first agents within a tenth of a second or two. The
-# balancer is answered then: told otherwise, it comes back a second later.
+# A starting entry connects to its first agents within 0.1 or 0.2 s. The readiness
+# check waits for that: after a "not ready" the balancer asks again a second later.
 READY_WAIT_SECONDS = 0.3
 READY_POLL_SECONDS = 0.02
 
@@ -72,9 +74,9 @@
 
 
 class DispatchEntryProcess:
-    """Runs an entry: the door that callers' requests come in by.
+    """Runs an entry, which accepts callers' requests.
 
-    :param listener: for the balancer's questions, where one listens already.
+    :param listener: a socket that already listens for the balancer's readiness checks.
     """
 
     def __init__(
@@ -125,12 +127,12 @@
         )
         self.runtime.add_transport()
         self.application.add_hook(self._start_store_watches, self._deregister)
-        # Started last and stopped first: a caller who is let in is answered.
+        # Started last and stopped first, so that every accepted caller is answered.
         self.runtime.add_http_service(self.settings.callers, CallerHandler(self).handle)
         await self.application.run()
 
     def is_stopped(self) -> bool:
-        """Return whether every caller is answered and the balancer has noticed."""
+        """Return whether callers are answered and the balancer has noticed the stop."""
         if not self.stop_began_at:
             self.stop_began_at = read_boottime()
         waited = read_boottime() - self.stop_began_at
@@ -141,7 +143,7 @@
         return self.is_closed
 
     async def _wait_until_ready(self) -> bool:
-        """Return whether this entry is ready, or will be in a moment."""
+        """Return whether this entry is ready, waiting briefly for it to become so."""
         asked_at = read_boottime()
         while not self.state.is_ready(read_boottime()):
             if self.state.stop_at or read_boottime() - asked_at > READY_WAIT_SECONDS:
@@ -149,18 +151,18 @@
             await asyncio.sleep(READY_POLL_SECONDS)
         return True
 
-    # What the callers' edge asks for.
+    # The interface of the callers' HTTP handler.
 
     def queues(self) -> Queues | None:
         """Return the queues in force."""
         return self.state.queues
 
     def count_queued(self, queue: Queue) -> int:
-        """Return how many jobs of a queue wait here."""
+        """Return how many jobs of a queue wait at this entry."""
         return self.state.count_queued_jobs(queue.name)
 
     def is_stopping(self) -> bool:
-        """Return whether connections are to be given up."""
+        """Return whether connections should be closed after their responses."""
         return self.state.stop_at > 0
 
     def cancel(self, job: str) -> bool:
@@ -172,9 +174,9 @@
     async def submit(
         self, queue: Queue, request: JobRequest, wait_seconds: float
     ) -> JobResult:
-        """Wait for the end of a job."""
+        """Submit a job and wait for its result."""
         if self.is_closed:
-            # Nothing is judged or told any more, so that it would never end.
+            # The reducer no longer decides about jobs, so this one would never end.
             return JobResult(JobVerdict.NOT_RUN, "this entry has stopped", 1.0)
         waiter = next(self.waiter_ids)
         future = asyncio.get_running_loop().create_future()
@@ -195,7 +197,7 @@
                 JobResult(effect.verdict, effect.reason, effect.retry_after)
             )
 
-    # The store, and other entries' copies of it.
+    # The metadata store, and other entries' copies of the configuration.
 
     async def _start_store_watches(self) -> None:
         generator = random.Random(secrets.randbits(64))
@@ -225,15 +227,17 @@
         self.application.spawn(self.registration.maintain(make_backoff("registration")))
 
     async def _deregister(self) -> None:
-        """Give the key up; a store that doesn't answer takes it back by itself."""
+        """Remove this entry's key; if the store doesn't answer, its lease expires."""
         try:
             async with asyncio.timeout(DEREGISTER_TIMEOUT_SECONDS):
                 await self.registration.remove()
         except TimeoutError:
-            self.runtime.say("leaves its key to the store: no answer")
+            self.runtime.say(
+                "can't remove its key, the store doesn't answer; its lease will expire"
+            )
 
     def _apply_operators_update(self, update: PrefixUpdate) -> None:
-        """Take the configuration and the evacuations, which lie side by side."""
+        """Apply the configuration and the evacuations, stored under one prefix."""
         for change in update.changes:
             if change.key == CONFIGURATION_KEY and change.value is not None:
                 self._apply_configuration(change.value)
@@ -259,7 +263,9 @@
         try:
             queues = read_configuration(value)
         except UnreadableConfigurationError as error:
-            self.runtime.say("a configuration can't be read", reason=error.message)
+            self.runtime.say(
+                "rejects a configuration that can't be parsed", reason=error.message
+            )
             return
         known = self.state.queues
         if known is None or queues.version > known.version:
@@ -275,14 +281,16 @@
                 continue
             member = decode_member(change.value)
             if member is None:
-                self.runtime.say("an entry's key can't be read", key=change.key)
+                self.runtime.say(
+                    "ignores an entry whose key can't be parsed", key=change.key
+                )
                 continue
             self.members[change.key] = member
         self.registration.rewrite_if_missing(set(self.members))
         self.application.feed(EntriesListed(list(self.members.values())))
 
     def _make_received(self, sender: str, message) -> Received:
-        """Hand configurations over here; all other messages are the reducer's."""
+        """Send and apply copies of the configuration; pass all messages on."""
         if isinstance(message, ConfigurationRequest) and self.configuration:
             copy = ConfigurationCopy(self.state.queues.version, self.configuration)
             self.runtime.transport.send(sender, copy, read_boottime())
--- a/src/cactuswalk/runtime/entry.py
+++ b/src/cactuswalk/runtime/entry.py
@@ -1,4 +1,4 @@
-"""The entry's process: callers by HTTP, owners by messages."""
+"""The entry process: serves callers over HTTP and talks to owners by messages."""
 
 import asyncio
 import itertools
@@ -25,12 +25,13 @@
 
 __all__ = ["EntryProcess"]
 
-# A change that an operator has asked for is settled within the store's patience.
+# As long as the store client retries a write: an operator's change in flight gets its
+# outcome before the server closes.
 OPERATORS_DRAIN_SECONDS = 10.0
 
 
 class EntryProcess:
-    """Everything that one entry's process owns."""
+    """Owns the servers, the pending requests and the state of one entry."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self.settings = settings
@@ -90,13 +91,13 @@
         return found if isinstance(found, JobTemplate) else None
 
     async def _start_watches(self) -> None:
-        """Watch the cells and the configuration; ends with the application."""
+        """Start watches of the cells and the configuration."""
         self.configuration_keys = ConfigurationKeys(self.runtime.store)
         self.application.spawn(self.runtime.key_value.watch("cells/"))
         self.application.spawn(follow(self.configuration_keys, self._publish))
 
     async def _do_nothing(self) -> None:
-        """Do nothing: the application has ended the watches."""
+        """Do nothing: the application cancels the watches itself."""
 
     def _publish(self, update: ConfigurationUpdate) -> None:
         self.application.feed(ConfigurationChanged(update))
@@ -117,7 +118,7 @@
         await self.operators_server.stop()
 
     async def submit(self, event: CallerSubmitted) -> Reply:
-        """Hand a submission to the reducer and wait for its one reply."""
+        """Pass a submission to the reducer and wait for its only reply."""
         self.shutdown.record_submission(time.monotonic())
         future = asyncio.get_running_loop().create_future()
         self.waiters[event.waiter] = future
@@ -128,7 +129,7 @@
             self.waiters.pop(event.waiter, None)
 
     async def query(self, submission: str, service: str) -> JobState | None:
-        """Ask the owners where a submission stands."""
+        """Ask the owners for the state of a submission."""
         request = str(next(self.serial))
         future = asyncio.get_running_loop().create_future()
         self.state_queries[request] = future
--- a/src/cactuswalk/runtime/exposition.py
+++ b/src/cactuswalk/runtime/exposition.py
@@ -1,7 +1,7 @@
-"""Counters and histograms, served as text in the common exposition format.
+"""Counters and histograms, served in the Prometheus text format.
 
-They are kept as plain numbers, and the library that writes the format is loaded when
-they are first asked for: most processes never are, and start sooner without it.
+Values are kept as plain numbers. The Prometheus client library is imported at the
+first scrape: most processes are never scraped, and start faster without it.
 """
 
 import bisect
@@ -14,14 +14,14 @@
 
 __all__ = ["Exposition"]
 
-# From the time of one message between processes to that of the longest jobs.
+# In seconds: from the latency of one message between processes to the longest jobs.
 BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
 
 
 class DurationHistogram(msgspec.Struct):
-    """A histogram.
+    """A histogram of durations.
 
-    :param counts: by bucket, and what is longer than the last one's bound.
+    :param counts: number of durations by bucket; the last bucket has no bound.
     :param total: sum of all durations, in seconds.
     """
 
@@ -34,7 +34,7 @@
         self.total += seconds
 
     def cumulative_counts(self) -> list[tuple[str, float]]:
-        """Return each bucket's upper bound, and how many are not longer."""
+        """Return each bucket's upper bound and the number of durations up to it."""
         bounds = [str(bound) for bound in BUCKETS] + ["+Inf"]
         rows = []
         count = 0
@@ -45,7 +45,7 @@
 
 
 class Exposition:
-    """The metrics of one process, by name and label, as they are first observed."""
+    """The metrics of one process, by name and label; created at first use."""
 
     def __init__(self) -> None:
         self.counters: dict[str, dict[str, int]] = {}
@@ -68,7 +68,7 @@
         labels[label] = labels.get(label, 0) + by
 
     def collect(self) -> Iterator:
-        """Yield the metrics as the library has them."""
+        """Yield the metrics as families of the Prometheus client library."""
         from prometheus_client.core import (
             CounterMetricFamily,
             HistogramMetricFamily,
@@ -97,7 +97,7 @@
             yield histogram
 
     def make_handler(self) -> Handler:
-        """Return the handler of the metrics address."""
+        """Return the HTTP handler of the metrics address."""
 
         async def handle(request: BaseRequest) -> Response:
             from prometheus_client.exposition import (
--- a/src/cactuswalk/runtime/keys.py
+++ b/src/cactuswalk/runtime/keys.py
@@ -1,8 +1,8 @@
-"""CURVE keys between the system's processes (CurveZMQ, RFC 26 of ZeroMQ).
+"""CURVE keys between processes (CurveZMQ, ZeroMQ RFC 26).
 
-A process listens with its key pair and admits only the public keys that its
-settings list. Its own public key is a part of the address that it gives out, so
-a peer knows whom it must find there, and checks that key against its own list.
+A process listens with its key pair and accepts only the public keys listed in its
+settings. Its own public key is part of the address that it announces, so that a peer
+knows which key to expect there, and checks it against its own list.
 """
 
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 
 KEY_SEPARATOR = "?key="
 
-# ZMQ_PROTOCOL_ERROR_ZMTP_MECHANISM_MISMATCH of <zmq.h>: it speaks without CURVE.
+# ZMQ_PROTOCOL_ERROR_ZMTP_MECHANISM_MISMATCH in <zmq.h>: the peer doesn't use CURVE.
 MECHANISM_MISMATCH = 0x11000002
 
-# Strangers counted in one look; a flood of them must not hold up the loop.
+# A flood of refused connections must not block the loop.
 MAX_EVENTS_PER_POLL = 100
 
 
 class CurveKeys:
-    """A process's key pair, and the public keys that it accepts."""
+    """A process's CURVE key pair, and the public keys that it accepts."""
 
     def __init__(self, settings: CurveSettings) -> None:
         self.public = settings.public_key.encode()
@@ -43,7 +43,7 @@
         socket: zmq.Socket,
         count: Callable[[str, int], None],
     ) -> None:
-        """Let only processes with an allowed key connect; count the others."""
+        """Accept only connections with an allowed key; count refused ones."""
         authenticator = zmq.auth.asyncio.AsyncioAuthenticator(
             zmq.asyncio.Context.shadow(context)
         )
@@ -53,15 +53,15 @@
         socket.curve_publickey = self.public
         socket.curve_secretkey = self.secret
         socket.curve_server = True
-        # A process that speaks without CURVE fails before its key is looked at;
-        # unless ZeroMQ's own events are read, nobody would see it try.
+        # A peer without CURVE fails before the authenticator is asked; only the
+        # events of the socket monitor show the attempt.
         self.server, self.count = socket, count
         self.monitor = socket.get_monitor_socket(
             zmq.EVENT_HANDSHAKE_FAILED_PROTOCOL | zmq.EVENT_HANDSHAKE_FAILED_NO_DETAIL
         )
 
     def poll(self) -> None:
-        """Count the processes that tried to connect without any key."""
+        """Count failed handshakes, such as those of peers without a key."""
         if self.monitor is None:
             return
         for _ in range(MAX_EVENTS_PER_POLL):
@@ -70,17 +70,17 @@
             except zmq.Again:
                 return
             if failed["event"] == zmq.EVENT_HANDSHAKE_FAILED_NO_DETAIL:
-                # A stranger that saw first that the two don't match, and does not
-                # come again; a probe, or a peer that died, looks the same.
+                # The peer closed the connection: it found the mechanisms to differ
+                # and won't retry, or was a port probe, or a peer that died.
                 self.count("transport.handshake_broken", 1)
             elif failed["value"] == MECHANISM_MISMATCH:
                 self.count("transport.stranger_refused", 1)
             else:
-                # A peer that still expects the key that was here before.
+                # A peer that expects the previous key of this address.
                 self.count("transport.handshake_failed", 1)
 
     def protect_client(self, socket: zmq.Socket, address: str) -> bool:
-        """Bind a connection to the key in the address; False if not allowed."""
+        """Require the key in the address; return False if it is not allowed."""
         _, separator, key = address.partition(KEY_SEPARATOR)
         server_key = z85.encode(bytes.fromhex(key)) if separator else b""
         if server_key not in self.allowed:
@@ -91,7 +91,7 @@
         return True
 
     def stop(self) -> None:
-        """Stop answering whether a key is allowed; comes before the socket's end."""
+        """Stop the authenticator; call this before the socket is closed."""
         if self.monitor is not None:
             self.server.disable_monitor()
             self.monitor = None
@@ -100,14 +100,14 @@
 
 
 class _KeyAuthorizer:
-    """What the authenticator asks about each connection."""
+    """The authenticator's callback for each connection."""
 
     def __init__(self, allowed: set[bytes], count: Callable[[str, int], None]) -> None:
         self.allowed = allowed
         self.count = count
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether a public key may connect."""
+        """Return whether a public key may connect; count it if not."""
         is_allowed = key in self.allowed
         if not is_allowed:
             self.count("transport.stranger_refused", 1)
@@ -115,5 +115,5 @@
 
 
 def address_with_key(address: str, public_key: str) -> str:
-    """Return an address that also says which key is to be found there."""
+    """Return an address with the public key to expect there."""
     return f"{address}{KEY_SEPARATOR}{z85.decode(public_key.encode()).hex()}"
--- a/src/cactuswalk/runtime/keyvalue.py
+++ b/src/cactuswalk/runtime/keyvalue.py
@@ -1,4 +1,4 @@
-"""Turn the reducers' wishes on the key-value service into calls and events."""
+"""Turn the reducers' key-value effects into calls, and the results into events."""
 
 from cactuswalk.platform.keyvalue import KeyValueStore
 from cactuswalk.runtime.application import Application
@@ -9,10 +9,10 @@
 
 
 class KeyValueAdapter:
-    """Performs ``ReadKey`` and ``SwapKey``; each ends in one event.
+    """Performs ``ReadKey`` and ``SwapKey``; each results in one event.
 
-    One call a key is under way at a time: a reducer that asks again each tick
-    while the service is away must not queue up calls for its return.
+    Only one read per key and one swap per write is in flight at a time: reducers ask
+    again at each tick, and calls must not pile up during an outage of the service.
     """
 
     def __init__(self, application: Application, store: KeyValueStore) -> None:
@@ -23,21 +23,21 @@
         application.effect_handlers[SwapKey] = self.swap
 
     def read(self, effect: ReadKey) -> None:
-        """Begin a read, unless one of the same key is under way."""
+        """Begin a read, unless one of the same key is in flight."""
         call_key = f"read {effect.key}"
         if call_key not in self.in_flight:
             self.in_flight.add(call_key)
             self.application.spawn(self._read(effect, call_key))
 
     def swap(self, effect: SwapKey) -> None:
-        """Begin a swap, unless the same write is under way."""
+        """Begin a swap, unless the same write is in flight."""
         call_key = f"swap {effect.write_id}"
         if call_key not in self.in_flight:
             self.in_flight.add(call_key)
             self.application.spawn(self._swap(effect, call_key))
 
     async def watch(self, prefix: str) -> None:
-        """Feed every change under a prefix as a ``KeyRead``, without end."""
+        """Feed each change under a prefix as a ``KeyRead`` event, without end."""
         async for changes in self.store.watch(prefix, 0):
             for change in changes.changes:
                 self.application.feed(
--- a/src/cactuswalk/runtime/listening.py
+++ b/src/cactuswalk/runtime/listening.py
@@ -1,4 +1,4 @@
-"""Sockets that listen before there is anything to serve them."""
+"""Listening sockets, opened before the servers that use them."""
 
 import socket
 
@@ -6,21 +6,22 @@
 
 __all__ = ["LISTEN_BACKLOG", "ListenError", "listen"]
 
-# Connections that may wait to be accepted: a full queue drops them for seconds.
+# Connections that may wait to be accepted. If the queue is full, the kernel drops
+# connection attempts, and clients retry only after seconds.
 LISTEN_BACKLOG = 1_024
 
 
 class ListenError(CactuswalkError):
-    """An address of the settings can't be listened at."""
+    """An address from the settings can't be bound."""
 
     code = "listen"
 
 
 def listen(address) -> socket.socket:
-    """Return a socket that listens at an address of this host.
+    """Return a socket that listens on an address of this host.
 
     :param address: has ``host`` and ``port``.
-    :raises ListenError: if the address is taken or not this host's.
+    :raises ListenError: if the address is in use or not one of this host.
     """
     try:
         return socket.create_server(
@@ -28,6 +29,6 @@
         )
     except OSError as error:
         raise ListenError(
-            f"can't listen at {address.host}:{address.port}: {error}",
-            "Give this process an address of this host that is free.",
+            f"can't listen on {address.host}:{address.port}: {error}",
+            "Set an address of this host that is not in use.",
         ) from error
--- a/src/cactuswalk/runtime/logs.py
+++ b/src/cactuswalk/runtime/logs.py
@@ -1,10 +1,10 @@
-"""Logs by eliot: JSON lines, each a short sentence with a fixed prefix per part.
+"""Logs with eliot: JSON lines, each with a short message prefixed by its part.
 
 {"level": "info", "message": "owner: task 3 of a/b starts on w7: most free
 slots", "part": "owner", "worker": "w7", ...}
 
-A line is made where the decision is taken, and encoded and written some
-milliseconds later, with all others of that time: the caller does not wait for it.
+Lines are created where a decision is made, and encoded and written together some
+milliseconds later, so that callers don't wait for them.
 """
 
 import asyncio
@@ -30,29 +30,29 @@
 MESSAGE_TYPE = "cactuswalk"
 
 
-# eliot's encoder takes 64-bit numbers; another one would lose its whole line.
+# eliot's encoder accepts 64-bit integers; a larger one would lose the whole line.
 MAX_INTEGER = (1 << 63) - 1
 
-# How long a line may wait to be written: longer than an empty request's way
-# through the path (3 to 5 ms, docs/measurements/path.md), so that its lines are
-# written after its answer, and short enough that a killed process loses little.
+# How long a line may wait to be written: longer than an empty request takes from end
+# to end (3 to 5 ms, docs/measurements/path.md), so that its lines are written after
+# its response, and short enough that a killed process loses few lines.
 WRITE_DELAY_SECONDS = 0.02
 
-# Lines that may wait. A job of 140 tasks makes three for each of them in one or
-# two turns of the loop; beyond that, memory goes before the time of a turn.
+# A job of 140 tasks logs three lines for each of them in one or two iterations of the
+# event loop. With more lines, bounded memory matters more than a short iteration.
 MAX_WAITING_LINES = 500
 
-# Lines from here on are written at once, and what waits before them: a process
-# that is about to end because of them must not take them along.
+# Lines of this level and above are written at once, with all waiting lines before
+# them: otherwise they would be lost if the process ends because of the error.
 IMMEDIATE_LEVEL = LEVELS["warning"]
 
 
 class Logs:
-    """Where the log of one process goes.
+    """The log of one process.
 
-    Outside a running loop, each line is written at once.
+    Without a running event loop, each line is written at once.
 
-    :param process: the entry's or the worker's name, on every line.
+    :param process: the entry's or the worker's name, a field of every line.
     """
 
     def __init__(self, settings: LogSettings, process: str) -> None:
@@ -63,19 +63,19 @@
         self.destination = eliot.FileDestination(file=self.buffer)
         eliot.add_destinations(self.destination)
         self.logger = eliot.Logger()
-        # An identifier drawn for each line costs more than encoding it.
+        # A random identifier for each line would cost more than encoding the line.
         self.task_prefix = str(uuid.uuid4())[:24]
         self.serial = itertools.count()
         self.waiting: list[dict[str, object]] = []
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
-        # Lines that could not be written since the last time that this was said.
+        # Lines not written since the last log line about dropped lines.
         self.dropped_lines = 0
         self.handler = LibraryHandler(self)
         logging.getLogger().addHandler(self.handler)
 
     def write(self, effect: Log, level: str = "info") -> None:
-        """Write the line of a ``Log`` effect."""
+        """Write a ``Log`` effect."""
         self.say(effect.part, effect.sentence, effect.fields, level)
 
     def say(
@@ -85,11 +85,11 @@
         fields: dict[str, object] | None = None,
         level: str = "info",
     ) -> None:
-        """Write one sentence of a part, with the values that led to it."""
+        """Write a line of a part, with the values that led to the decision."""
         if LEVELS[level] < self.level:
             return
         line = {
-            # A field of an effect must not replace one of the line itself.
+            # A field of an effect must not overwrite a field of the line itself.
             f"{name}_" if name in LINE_FIELDS else name: (
                 value if type(value) is str else _to_json_value(value)
             )
@@ -100,7 +100,10 @@
     def enqueue(
         self, part: str, sentence: str, line: dict[str, object], level: str
     ) -> None:
-        """Have a line written whose own fields are plain and free to use."""
+        """Queue a line for writing.
+
+        :param line: JSON-compatible fields; the dictionary is modified.
+        """
         if self.closed:
             return
         line["message_type"] = MESSAGE_TYPE
@@ -117,7 +120,7 @@
             self._flush_later()
 
     def flush(self) -> None:
-        """Write what waits, in the order in which it was said."""
+        """Write all waiting lines in order."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -134,7 +137,7 @@
             self.say(Part.PROCESS, "log lines were dropped", {"lines": dropped_lines})
 
     def close(self) -> None:
-        """Write the rest, then no more, and close a file that this has opened."""
+        """Write all waiting lines, stop logging, and close the file opened here."""
         if self.closed:
             return
         self.closed = True
@@ -160,13 +163,13 @@
                 self.stream.write(chunk)
                 self.stream.flush()
         except (OSError, ValueError):
-            # A full or closed destination must not end the process that serves.
+            # A full disk or a closed destination must not end the process.
             return
-        # A reader that has stopped costs lines, not the time of callers.
+        # If the reader of a pipe hangs, lines are dropped rather than block callers.
         self.dropped_lines += len(lines)
 
     def _is_writable(self) -> bool:
-        """Return whether a piece can be written without waiting."""
+        """Return whether a chunk can be written without blocking."""
         try:
             descriptor = self.stream.fileno()
         except (OSError, ValueError):
@@ -177,7 +180,7 @@
 
 
 def _take_chunk(lines: list[str]) -> str:
-    """Take lines off the front that a pipe which is writable takes at once."""
+    """Remove and return leading lines that fit into one non-blocking pipe write."""
     chunk = lines.pop(0)
     size = len(chunk)
     while lines and size + len(lines[0]) <= select.PIPE_BUF:
@@ -187,23 +190,23 @@
 
 
 class LineBuffer:
-    """Takes encoded lines from eliot, which flushes after each, for one write."""
+    """File-like buffer of encoded lines; eliot writes and flushes them one by one."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
 
     def write(self, text: str | bytes) -> None:
-        """Take a line; bytes are refused as a text file's would be."""
+        """Append a line; raise TypeError for bytes, as a text file does."""
         if isinstance(text, bytes):
-            raise TypeError("lines are text")
+            raise TypeError("log lines must be str, not bytes")
         self.lines.append(text)
 
     def flush(self) -> None:
-        """Do nothing: the whole batch is written at once."""
+        """Do nothing: ``Logs.flush`` writes the buffered lines together."""
 
 
 def open_logs(settings: LogSettings, process: str) -> Logs:
-    """Start the log of a process.
+    """Open the log of a process.
 
     :raises SettingsError: if its file can't be opened.
     """
@@ -225,21 +228,21 @@
 
 
 class LibraryHandler(logging.Handler):
-    """Writes what libraries and the HTTP edges log as lines of their parts."""
+    """Writes records of the ``logging`` module as lines of "http" or "library"."""
 
     def __init__(self, logs: Logs) -> None:
         super().__init__(logging.WARNING)
         self.logs = logs
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record."""
+        """Write a record."""
         part = "http" if record.name.startswith("cactuswalk.") else "library"
         line: dict[str, object] = {"logger": record.name}
         self.logs.enqueue(part, self.format(record), line, record.levelname.lower())
 
 
 def _to_json_value(value: object) -> object:
-    """Return a value that JSON can hold; a log line must not fail its caller."""
+    """Convert a value to a JSON-compatible one; logging must not raise."""
     if isinstance(value, int) and abs(value) > MAX_INTEGER:
         return str(value)
     if value is None or isinstance(value, (str, int, float)):
--- a/src/cactuswalk/runtime/metrics.py
+++ b/src/cactuswalk/runtime/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by statsd: counted in memory, sent in batches over UDP.
+"""StatsD metrics: aggregated in memory, sent in batches over UDP.
 
-Nothing here can hold the loop up or fail its caller: UDP to an address given as
-an IP number neither waits nor resolves, and a lost packet loses a metric only.
+Nothing here can block the loop or fail its caller: UDP to an IP address needs neither
+a connection nor a name lookup, and a lost packet loses only metrics.
 """
 
 import asyncio
@@ -12,17 +12,17 @@
 
 __all__ = ["Metrics", "NoMetrics", "make_metrics"]
 
-# A packet below the smallest usual MTU arrives whole or not at all.
+# Below the smallest common MTU, so that packets are never fragmented.
 MAX_PACKET_BYTES = 1_200
 
 
-# Statsd servers fold what comes within ten seconds by default; a second keeps a
-# process that dies from taking much with it.
+# StatsD servers aggregate over ten seconds by default; with one second, a process
+# that dies loses few metrics.
 FLUSH_SECONDS = 1.0
 
 
 class NoMetrics:
-    """Metrics that go nowhere, where no statsd is set."""
+    """Discards all metrics; used if no StatsD server is configured."""
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
@@ -34,18 +34,18 @@
         """Record a duration."""
 
     def flush(self) -> None:
-        """Send what has gathered."""
+        """Send all pending metrics."""
 
     def close(self) -> None:
-        """Send the rest and close the socket."""
+        """Send all pending metrics and close the socket."""
 
 
 class Metrics(NoMetrics):
-    """Metrics to one statsd server.
+    """Sends metrics to one StatsD server.
 
-    Counters are summed and gauges overwritten for a second, then sent together:
-    a line for each of thousands of starts a second would cost more than the
-    control that they describe. Outside a loop, ``flush`` has to be called.
+    Counters are summed and gauges overwritten for a second, then sent together: one
+    packet for each of thousands of starts a second would cost more than the scheduling
+    itself. Without a running event loop, ``flush`` has to be called.
     """
 
     def __init__(self, client: statsd.StatsClient) -> None:
@@ -71,7 +71,7 @@
         self._flush_later()
 
     def flush(self) -> None:
-        """Send what has gathered since the last time."""
+        """Send all metrics since the last flush."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -79,14 +79,14 @@
         for name, by in self.counters.items():
             pipeline.incr(name, by)
         for name, value in self.gauges.items():
-            # A negative value would be read as a change of the gauge.
+            # StatsD reads a negative value as a decrement of the gauge.
             pipeline.gauge(name, max(value, 0))
         self.counters.clear()
         self.gauges.clear()
         pipeline.send()
 
     def close(self) -> None:
-        """Send the rest and close the socket."""
+        """Send all pending metrics and close the socket."""
         self.flush()
         self.client.close()
 
@@ -101,7 +101,7 @@
 
 
 def make_metrics(settings: StatsdSettings | None) -> NoMetrics:
-    """Return the metrics that the settings ask for."""
+    """Return the metrics client for the settings."""
     if settings is None:
         return NoMetrics()
     client = statsd.StatsClient(
--- a/src/cactuswalk/runtime/operators.py
+++ b/src/cactuswalk/runtime/operators.py
@@ -1,4 +1,4 @@
-"""What the operators' interface of an entry's process stands on."""
+"""Connects the operators' HTTP interface to the state of an entry."""
 
 import asyncio
 import itertools
@@ -22,7 +22,7 @@
 
 
 class OperatorsAdapter:
-    """Answers the operators' interface from an entry's state.
+    """Answers requests of the operators' interface from an entry's state.
 
     :param operators: names of operators, by the SHA-256 of their tokens.
     """
@@ -40,7 +40,7 @@
     def interface(
         self, state: EntryState, keys: ConfigurationKeys
     ) -> OperatorsInterface:
-        """Return what the interface needs of this entry."""
+        """Return the callables and data that the HTTP interface needs."""
         return OperatorsInterface(
             keys=keys,
             replica=state.spread.replica,
@@ -55,11 +55,11 @@
         )
 
     def publish(self, update: ConfigurationUpdate) -> None:
-        """Hand changes to the reducer."""
+        """Pass changes of the configuration to the reducer."""
         self.application.feed(ConfigurationChanged(update))
 
     def log(self, sentence: str, fields: dict[str, object]) -> None:
-        """Write a log line of the configuration's part."""
+        """Write a log line of the part "configuration"."""
         self.application.write_log(Log(Part.CONFIGURATION, sentence, fields))
 
     def status(self, state: EntryState) -> dict[str, object]:
@@ -80,7 +80,7 @@
         }
 
     async def explain(self, state: EntryState, query: dict[str, str]) -> object:
-        """Ask the owners where a job may land now."""
+        """Ask the owners which workers could take a job now."""
         request = f"explain-{next(self.serial)}"
         future = asyncio.get_running_loop().create_future()
         self.waiters[request] = future
@@ -97,7 +97,7 @@
         fitting = sum(one["fits"] for one in verdicts)
         summary = f"{fitting} of {len(verdicts)} workers could take it now."
         if not cells:
-            summary = "No owner of a cell with this service has answered."
+            summary = "No cell owner for this service has answered."
         return {"workers": verdicts, "summary": summary}
 
     def _resolve_explanation(self, effect: ReplyExplanation) -> None:
@@ -107,7 +107,7 @@
 
 
 def in_force(state: EntryState, revision: int) -> InForce:
-    """Say on how many nodes of all known cells a revision is in force."""
+    """Count the nodes of all known cells on which a revision is in force."""
     return add_up(revision, state.held.values())
 
 
@@ -137,7 +137,7 @@
 
 
 def _format_shares(view) -> str:
-    """Say how much of each service a cell holds for keys that are yet to be born."""
+    """Format the share of each service's slots that a cell holds for new keys."""
     services = sorted({one.service for one in view.holdings})
     shares = [
         f"{open_slots(view.holdings, service)}/{SLOT_COUNT} of {service}"
@@ -147,7 +147,7 @@
 
 
 def _build_job(state: EntryState, query: dict[str, str]) -> Job:
-    """Return the job that a question describes, its template filled in."""
+    """Build the job that a query describes, with defaults from its template."""
     template = state.spread.replica.get("job", query.get("template", ""))
     if not isinstance(template, JobTemplate):
         template = JobTemplate(name="none")
--- a/src/cactuswalk/runtime/process.py
+++ b/src/cactuswalk/runtime/process.py
@@ -1,4 +1,4 @@
-"""What both daemons stand on: log, metrics, messages, the key-value service."""
+"""Shared parts of entries and agents: log, metrics, messages, key-value service."""
 
 import random
 import secrets
@@ -20,10 +20,10 @@
 
 
 class ProcessRuntime:
-    """The parts of a process that its role does not change.
+    """The parts of a process that don't depend on its role.
 
-    :param name: of the process, in its log lines and towards the service.
-    :param settings: of an entry or an agent.
+    :param name: name of the process, in its log lines and for the key-value service.
+    :param settings: settings of an entry or an agent.
     """
 
     def __init__(self, name: str, settings: AgentSettings | EntrySettings) -> None:
@@ -46,7 +46,7 @@
         is_stopped: Callable[[], bool],
         can_stop: Callable[[float], bool] = lambda now: True,
     ) -> Application:
-        """Return the application object of a reducer over this engine's events."""
+        """Return the application object that runs a reducer."""
         return Application(
             self.name,
             reduce,
@@ -60,10 +60,11 @@
         )
 
     def attach(self, application: Application, rate: float, burst: float) -> None:
-        """Let an application own these parts.
+        """Register these parts with the application that owns them.
 
-        :param rate: of calls on the key-value service, see
-            ``decisions.callbudget``; so ``burst``.
+        :param rate: tokens per second for calls to the key-value service, see
+            ``decisions.callbudget``.
+        :param burst: the most tokens that are saved up.
         """
         self.application = application
         keys = CurveKeys(self.settings.curve) if self.settings.curve else None
@@ -95,11 +96,11 @@
         self.transport.send(effect.address, effect.message, now)
 
     def fork_generator(self) -> random.Random:
-        """Return a generator of its own for a part that draws on its own."""
+        """Return a new random generator, seeded from this process's generator."""
         return random.Random(self.generator.getrandbits(64))
 
     def make_counter(self) -> Callable[[str], None]:
-        """Return what adds one to a counter."""
+        """Return a function that adds one to a named counter."""
         return lambda name: self.metrics.count(name, 1)
 
     def _open_store(self, rate: float, burst: float) -> None:
--- a/src/cactuswalk/runtime/serving.py
+++ b/src/cactuswalk/runtime/serving.py
@@ -1,8 +1,8 @@
-"""Serve one address over HTTP, with the least of the library that it takes.
+"""Serve one address over HTTP with a small part of aiohttp.
 
-Each host has one small process of this product, whose memory is mostly the code that
-it loads, and after a power cut callers wait until it has loaded. Without the
-library's applications, routes and files an agent has 1.4 MB less of 30.
+Each host runs one small process of this product. Most of its memory is loaded code,
+and after a power failure callers wait until that is loaded. Without aiohttp's
+applications, routes and static files, an agent takes 1.4 MB less of 30 MB.
 """
 
 import asyncio
@@ -19,22 +19,22 @@
 
 Handler = Callable[[BaseRequest], Awaitable[Response]]
 
-# A request that is longer than this before its body is no caller of ours.
+# Longer request headers don't come from legitimate callers.
 MAX_HEADER_BYTES = 16_384
 
-# Idle connections of callers are kept; the balancer's clients come back on them.
+# Idle connections are kept open because the balancer's clients reuse them.
 KEEPALIVE_SECONDS = 75.0
 
-# What is still being answered when a process ends has this long: the library's own
-# minute let a stopping process be killed.
+# Time for open requests when the process stops. With aiohttp's default of 60 s, a
+# stopping process was killed first.
 SHUTDOWN_TIMEOUT_SECONDS = 0.2
 
 
 class HttpService:
-    """One address that is served.
+    """An HTTP server for one address.
 
     :param address: has ``host`` and ``port``.
-    :param listener: a socket that already listens there.
+    :param listener: a socket that already listens at the address.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.listening: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Take connections."""
+        """Start accepting connections."""
         self.server = Server(
             self.handler,
             access_log=None,
@@ -64,9 +64,9 @@
         )
 
     async def stop(self) -> None:
-        """Take no more connections, and close those that there are."""
+        """Stop accepting connections and close the open ones."""
         self.listening.close()
-        # What was accepted in this turn begins to be handled before it is closed.
+        # Let handlers start for connections accepted in this iteration of the loop.
         await asyncio.sleep(0)
         self.server.pre_shutdown()
         await self.server.shutdown(SHUTDOWN_TIMEOUT_SECONDS)
--- a/src/cactuswalk/runtime/storewatch.py
+++ b/src/cactuswalk/runtime/storewatch.py
@@ -1,7 +1,7 @@
-"""Follow the platform's store: the configuration, and who the entries are.
+"""Watches of the platform's metadata store: the configuration and the entries.
 
-Nothing that serves callers waits for it. Each loop goes on through outages with
-its own back-off, so that the store's return isn't met by all calls at once.
+Requests of callers never wait for the store. Each loop retries during an outage with
+its own back-off, so that calls don't arrive all at once when the store is back.
 """
 
 import asyncio
@@ -29,23 +29,23 @@
     "watch_prefix",
 ]
 
-# Entries write their addresses below it.
+# Entries write their addresses under this prefix.
 ENTRIES_PREFIX = "cactuswalk/entries/"
 
-# An entry's key outlives so long an outage of its process.
+# An entry's key survives an outage of its process for this long.
 LEASE_SECONDS = 6.0
 RENEW_PERIOD_SECONDS = 2.0
 
-# Waits longer than this would keep a node that was turned away from hearing of
-# the store's return: entries that lapsed have to be back within two seconds.
+# After an outage of the store, entries whose leases expired have to be registered
+# again within two seconds; longer waits between retries would miss that.
 MAX_WAIT_SECONDS = 1.0
 
 
 class PrefixUpdate(msgspec.Struct):
-    """What has come about under a prefix of the store.
+    """Changes under a prefix of the store.
 
-    :param revision: of the store when this was all that had changed.
-    :param whole: these are all keys that there are; any other one is gone.
+    :param revision: revision of the store that the changes lead to.
+    :param is_snapshot: whether these are all existing keys; others were deleted.
     """
 
     revision: int
@@ -54,7 +54,7 @@
 
 
 class StoreBackoff:
-    """Says once that the store is away, waits, and says that it is back."""
+    """Back-off between failed calls; logs the start and the end of an outage."""
 
     def __init__(
         self,
@@ -70,17 +70,23 @@
         self.backoff = Backoff()
 
     async def wait_after(self, error: PlatformError, started: float) -> None:
-        """Wait as long as a failed call asks for."""
+        """Wait after a failed call; log the first failure of an outage."""
         if not self.backoff.failures:
-            self.say("the store is lost", what=self.what, reason=str(error))
+            self.say(
+                "can't reach the metadata store", what=self.what, reason=str(error)
+            )
         now = self.clock()
         self.backoff.record_failure(started, now, self.generator)
         await asyncio.sleep(min(self.backoff.remaining(now), MAX_WAIT_SECONDS))
 
     def record_success(self) -> None:
-        """Take note that a call was answered."""
+        """Reset the back-off; log the end of an outage."""
         if self.backoff.failures:
-            self.say("the store is back", what=self.what, tries=self.backoff.failures)
+            self.say(
+                "the metadata store answers again",
+                what=self.what,
+                tries=self.backoff.failures,
+            )
         self.backoff.record_success()
 
 
@@ -91,10 +97,10 @@
     on_update: Callable[[PrefixUpdate], None],
     backoff: StoreBackoff,
 ) -> None:
-    """Give ``take`` all changes under a prefix, for ever.
+    """Call ``on_update`` with all changes under a prefix, without end.
 
-    The first time, and whenever the store has dropped the history in between,
-    it gets the whole list.
+    The first update, and each one after the store has compacted the history in
+    between, is a snapshot of all keys.
     """
     revision: int | None = None
     while True:
@@ -115,17 +121,17 @@
             revision = None
             continue
         except PlatformError as error:
-            # A watch that was cut may have missed what the store has dropped
-            # since; it finds out by itself, from the revision where it was.
+            # The watch resumes at its last revision. If the store has compacted
+            # that one meanwhile, the next call raises HistoryCompactedError.
             await backoff.wait_after(error, started)
             continue
         backoff.record_success()
 
 
 def decode_member(value: bytes) -> Member | None:
-    """Return the entry that a key of the store tells of, or None if it can't be read.
+    """Decode the value of an entry's key; return None if it is malformed.
 
-    :param value: as ``Registration`` wrote it, or another version of this product.
+    :param value: as written by ``Registration`` of this or another version.
     """
     try:
         return msgspec.json.decode(value, type=Member)
@@ -136,8 +142,8 @@
 class Registration:
     """Keeps this entry's key in the store, under a lease.
 
-    :param name: of the process.
-    :param member: its message address and data centre.
+    :param name: name of the process.
+    :param member: the entry's message address and data centre.
     """
 
     def __init__(self, store: MetadataStore, name: str, member: Member) -> None:
@@ -148,16 +154,16 @@
         self.key_missing = asyncio.Event()
 
     def rewrite_if_missing(self, keys: set[str]) -> None:
-        """Write the key again if it is not among those that the store holds.
+        """Write the key again if it is not among the keys in the store.
 
-        The store may take a key away from a living holder, whose renewals go on
-        being answered; only the list of keys shows it.
+        The store may drop the key of a running process while it still confirms the
+        renewals of its lease; only the list of keys shows that.
         """
         if self.key not in keys:
             self.key_missing.set()
 
     async def maintain(self, backoff: StoreBackoff) -> None:
-        """Hold the key, for ever."""
+        """Renew the lease, and write the key if it is missing, without end."""
         while True:
             started = backoff.clock()
             try:
@@ -172,7 +178,7 @@
                     await self.key_missing.wait()
 
     async def remove(self) -> None:
-        """Give the key up at a planned stop."""
+        """Remove the key at a planned stop, by revoking its lease."""
         if self.lease:
             with contextlib.suppress(PlatformError):
                 await self.store.revoke(self.lease)
--- a/src/cactuswalk/runtime/transport.py
+++ b/src/cactuswalk/runtime/transport.py
@@ -1,7 +1,7 @@
-"""Messages between processes: ZeroMQ PULL for what comes, PUSH for each peer.
+"""Messages between processes: a ZeroMQ PULL socket, and a PUSH socket per peer.
 
-All messages of one turn of the loop for one peer leave as one frame. Delivery
-is not promised; the reducers expect loss, repetition and delay.
+All messages for one peer from one iteration of the event loop are sent as one frame.
+Delivery is not guaranteed: the reducers handle loss, duplication and delay.
 """
 
 import asyncio
@@ -15,45 +15,46 @@
 
 __all__ = ["Transport", "TransportError"]
 
-# Frames that may wait for a peer that doesn't read. Beyond it they are dropped:
-# what waited longer would be refused as stale anyway.
+# Frames that ZeroMQ queues for a peer that doesn't read. Further ones are dropped:
+# they would be refused as stale by the time they arrive.
 HIGH_WATER_MARK = 10_000
-# A reconnecting peer is tried this often: twice in the time after which an
-# owner stops using a worker.
+# Interval of reconnection attempts: two of them fit into the time after which an owner
+# stops using a worker.
 RECONNECT_MS = 100
-# A process that comes back is met this much later at worst, by its first words to
-# those that had given it up.
+# After a restart, a process is reconnected to at most this much later, when it sends
+# its first messages to peers that had dropped it.
 MAX_RECONNECT_MS = 200
-# Connections to peers that nothing was sent to for this long are closed, so
-# that replaced hosts don't leave sockets behind.
+# Connections without traffic for this long are closed, so that replaced hosts don't
+# leave sockets behind.
 IDLE_TIMEOUT_SECONDS = 60.0
-# Frames that one turn of the loop takes in before timers and HTTP get theirs.
+# Frames received per iteration of the event loop, before timers and HTTP run.
 MAX_FRAMES_PER_TURN = 200
 
-# Messages for a peer that is not connected (yet) are held this long: some tries
-# to connect, and less than the age at which they are refused.
+# Messages for a peer that is not connected yet are held this long: enough for several
+# attempts to connect, and less than the age at which receivers refuse them.
 MAX_HOLD_SECONDS = 0.5
-# How long frames that were handed to ZeroMQ may take to leave at the end.
+# Time for ZeroMQ to send queued frames when the transport closes.
 LINGER_MS = 200
-# A peer that doesn't connect is tried again after this, doubled each time. With a part
-# of the hosts gone, tries at a fixed pace would leave the living ones little time.
+# Sends to a peer that is not connected are retried with a delay that doubles up to the
+# maximum. With part of the hosts down, retries at a fixed interval would leave little
+# time for the others.
 MIN_RETRY_SECONDS = 0.005
 MAX_RETRY_SECONDS = 0.04
 
-# A plain number: the library's own flags are slow to compare.
+# A plain int, because comparing pyzmq's enum flags is slow.
 READABLE = int(zmq.POLLIN)
 
 
 class TransportError(CactuswalkError):
-    """The process can't listen at its address."""
+    """The process can't bind its message address."""
 
     code = "transport"
 
 
 class Peer:
-    """The socket towards one process, and what this turn has for it.
+    """The socket to one process, and the messages that wait to be sent to it.
 
-    :param since: when the oldest message that still waits was given.
+    :ivar since: when the oldest waiting message was queued.
     """
 
     __slots__ = ("socket", "waiting", "used_at", "since")
@@ -68,17 +69,16 @@
 class Transport:
     """The sockets of one process.
 
-    :param address: as other processes are told.
-    :param on_message: called in the loop with sender and message.
-    :param count: called with the name of a counter and what to add.
-    :param keys: CURVE key pair and the allowed public keys, None for none.
-    :param listen: where it listens if that is another address of this host, as
-        behind a switch that translates addresses.
+    :param address: the address announced to other processes.
+    :param on_message: called in the event loop with the sender and the message.
+    :param count: called with the name of a counter and the increment.
+    :param keys: CURVE key pair and allowed public keys; None disables encryption.
+    :param listen: the address to bind if it differs, as behind address translation.
     :param codec: a module with ``Envelope``, ``encode`` and ``decode``.
-    :param heartbeat_ms: how often a connection to a peer is tried; one that doesn't
-        answer within half of it is replaced; 0 for never. Without it a connection
-        that went silent for good swallows what is sent until the peer is restarted.
-    :param clock: the one that ``now`` is read from.
+    :param heartbeat_ms: interval of heartbeats on connections to peers; a connection
+        without an answer within half of it is replaced. 0 disables heartbeats: then
+        messages on a silent connection are lost until the peer is restarted.
+    :param clock: the clock that ``now`` arguments are read from.
     """
 
     def __init__(
@@ -110,9 +110,9 @@
         self.loop: asyncio.AbstractEventLoop | None = None
 
     def open(self) -> None:
-        """Listen; needs the running loop.
+        """Start listening; needs a running event loop.
 
-        :raises TransportError: if the address is taken or not this host's.
+        :raises TransportError: if the address is in use or not one of this host.
         """
         self.loop = asyncio.get_running_loop()
         self.inbound = self.context.socket(zmq.PULL)
@@ -124,13 +124,13 @@
             self.inbound.bind(self.listen)
         except zmq.ZMQError as error:
             raise TransportError(
-                f"can't listen at {self.listen}: {error}",
-                "Give this process an address of this host that is free.",
+                f"can't listen on {self.listen}: {error}",
+                "Set an address of this host that is not in use.",
             ) from error
         self.loop.add_reader(self.inbound.fileno(), self._on_readable)
 
     def close(self) -> None:
-        """Close all sockets; frames that still wait get a moment to leave."""
+        """Close all sockets; queued frames have ``LINGER_MS`` to be sent."""
         if self.keys is not None:
             self.keys.stop()
         if self.inbound is not None:
@@ -143,7 +143,7 @@
         self.context.term()
 
     def send(self, address: str, message: object, now: float) -> None:
-        """Have a message leave with this turn's frame for its receiver."""
+        """Queue a message for the next frame to its receiver."""
         peer = self.peers.get(address)
         if peer is None:
             socket = self._connect(address)
@@ -157,7 +157,7 @@
         self.dirty.add(address)
 
     def flush(self) -> None:
-        """Send what this turn has gathered, one frame a receiver."""
+        """Send all queued messages, one frame per receiver."""
         dirty, self.dirty = self.dirty, set()
         for address in dirty:
             self._flush_peer(address, self.peers[address])
@@ -174,11 +174,11 @@
         self.count("transport.bytes_sent", len(frame))
 
     def _hold_messages(self, address: str, peer: Peer) -> None:
-        """Hold messages for a connection that is being made, not for long.
+        """Hold messages until the connection is made, or drop them if too old.
 
-        The first message to a process would be lost without it: a connection
-        takes a round trip or more. What waits longer is for a process that is
-        gone, and would be refused as stale by the next one at its address.
+        Connecting takes a round trip or more, and the first message to a process must
+        not be lost. Messages that wait longer are for a process that is gone; the next
+        one at its address would refuse them as stale.
         """
         if self.clock() - peer.since > MAX_HOLD_SECONDS:
             self.count("transport.dropped", len(peer.waiting))
@@ -197,14 +197,14 @@
             self.retry_delay = MIN_RETRY_SECONDS
 
     def close_idle(self, now: float) -> None:
-        """Close the sockets towards peers that are spoken to no more."""
+        """Close the sockets to peers without recent messages."""
         for address, peer in list(self.peers.items()):
             if now - peer.used_at > IDLE_TIMEOUT_SECONDS and not peer.waiting:
                 peer.socket.close(linger=0)
                 del self.peers[address]
 
     def poll(self) -> None:
-        """Take in what waits; ZeroMQ's descriptor can miss an edge."""
+        """Receive waiting frames; ZeroMQ's edge-triggered descriptor can miss some."""
         if self.keys is not None:
             self.keys.poll()
         self._on_readable()
@@ -213,8 +213,8 @@
         socket = self.context.socket(zmq.PUSH)
         socket.set_hwm(HIGH_WATER_MARK)
         socket.linger = 0
-        # Without it, frames pile up for a process that is gone, and reach the
-        # next one at its address long after they meant anything.
+        # Queue only on completed connections. Otherwise frames pile up for a process
+        # that is gone, and reach the next one at its address when they are obsolete.
         socket.immediate = 1
         socket.reconnect_ivl = RECONNECT_MS
         socket.reconnect_ivl_max = MAX_RECONNECT_MS
@@ -237,12 +237,12 @@
         if self.inbound is None or self.inbound.closed:
             return
         for _ in range(MAX_FRAMES_PER_TURN):
-            # Asked first, since an exception at the end of each turn costs more than
-            # the frames that most turns bring.
+            # Check first: a zmq.Again exception at the end of each call would cost more
+            # than receiving the few frames that most calls find.
             if not self.inbound.get(zmq.EVENTS) & READABLE:
                 return
             self._handle_frame(self.inbound.recv(zmq.DONTWAIT))
-        # More may wait, and the descriptor won't say so again.
+        # More frames may wait, and the descriptor won't signal them again.
         self.loop.call_soon(self._on_readable)
 
     def _handle_frame(self, frame: bytes) -> None:
@@ -257,5 +257,5 @@
 
 
 def strip_key(address: str) -> str:
-    """Return the part of an address that ZeroMQ connects to."""
+    """Return an address without its key: the endpoint for ZeroMQ."""
     return address.split(KEY_SEPARATOR)[0]
