--- a/features/steps/dispatch_explaining_steps.py
+++ b/features/steps/dispatch_explaining_steps.py
@@ -109,7 +109,7 @@
     result = CliRunner().invoke(operator_group, [*arguments, str(context.settings)])
     assert result.exit_code == 2, result.output
     assert "[store] address: is missing" in result.output, result.output
-    assert "[callers] address = nowhere: is no address" in result.output
+    assert "[callers] address = nowhere: is not an address" in result.output
     example = CliRunner().invoke(
         operator_group, [*arguments, "examples/dispatch-entry.ini"]
     )
--- a/src/cactuswalk/errors.py
+++ b/src/cactuswalk/errors.py
@@ -1,4 +1,4 @@
-"""The family of errors that Cactuswalk raises, each with a code and a remedy."""
+"""Base classes of the errors that Cactuswalk raises, with a code and a remedy."""
 
 __all__ = [
     "CactuswalkError",
@@ -10,10 +10,10 @@
 
 
 class CactuswalkError(Exception):
-    """An error that can show itself to a person.
+    """Base class of errors that are reported to users.
 
-    :param message: what was wrong, with the value that was.
-    :param remedy: what the reader can do about it, as a sentence.
+    :param message: what is wrong, including the wrong value.
+    :param remedy: a sentence that tells the user how to correct it.
     """
 
     code = "internal"
@@ -25,34 +25,34 @@
         self.remedy = remedy
 
     def show(self) -> str:
-        """Return the text that a person reads, the remedy on its own line."""
+        """Return the message for the user, with the remedy on its own line."""
         text = f"Error [{self.code}]: {self.message}"
         return f"{text}\n  Remedy: {self.remedy}" if self.remedy else text
 
 
 class UsageError(CactuswalkError):
-    """A person gave something that can't be acted on."""
+    """Invalid input from a user."""
 
     code = "usage"
     exit_code = 2
 
 
 class SettingsError(UsageError):
-    """One or more settings are wrong; every mistake stands in the message."""
+    """One or more settings are invalid; the message lists every mistake."""
 
     code = "settings"
 
 
 class MalformedMessageError(CactuswalkError):
-    """Bytes from another process that are no message of this version."""
+    """Bytes from another process that don't decode as a message of this version."""
 
     code = "malformed_message"
 
 
 class InvariantError(CactuswalkError):
-    """A promise of the product would be broken by going on.
+    """Continuing would violate a guarantee of the product.
 
-    The part that raises it stops serving; it is counted and never passed over.
+    The process that raises it counts the error and stops; it is never ignored.
     """
 
     code = "invariant_violated"
--- a/src/cactuswalk/frames.py
+++ b/src/cactuswalk/frames.py
@@ -1,7 +1,8 @@
-"""Frames between processes: MessagePack, checked when it comes back.
+"""Frames between processes: MessagePack, validated when decoded.
 
-A frame is one envelope: everything that one turn of the sender's loop had for one
-receiver. Sending a frame costs far more than encoding one more message into it.
+A frame is one envelope: all messages for one receiver from one iteration of the
+sender's event loop. Sending a frame costs far more than encoding another message into
+it.
 """
 
 import msgspec
@@ -12,9 +13,9 @@
 
 
 class FrameCodec:
-    """Encodes and decodes the envelopes of one family of messages.
+    """Encodes and decodes the envelopes of one set of message types.
 
-    :param envelope: a struct of the sender's address and its messages in order.
+    :param envelope: a struct with the sender's address and the messages in order.
     """
 
     def __init__(self, envelope: type) -> None:
@@ -28,12 +29,12 @@
     def decode(self, frame: bytes) -> msgspec.Struct:
         """Return the envelope in a frame.
 
-        :raises MalformedMessageError: if the frame is no envelope of this version.
+        :raises MalformedMessageError: if the frame doesn't decode in this version.
         """
         try:
             return self.decoder.decode(frame)
         except msgspec.MsgspecError as error:
             raise MalformedMessageError(
-                f"a frame of {len(frame)} bytes is no envelope: {error}",
+                f"a frame of {len(frame)} bytes is not a valid envelope: {error}",
                 "Run the same version of Cactuswalk on both hosts.",
             ) from error
--- a/src/cactuswalk/logfields.py
+++ b/src/cactuswalk/logfields.py
@@ -1,4 +1,4 @@
-"""The fields that each log line has of its own, for who writes and who reads them."""
+"""Fields that every log line has, shared by the writer and readers of logs."""
 
 __all__ = ["LINE_FIELDS"]
 
--- a/src/cactuswalk/observations.py
+++ b/src/cactuswalk/observations.py
@@ -1,4 +1,4 @@
-"""What a reducer wants to have seen from outside: log lines, counters, gauges."""
+"""Effects that make a reducer observable: log lines, counters and gauges."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Part(enum.StrEnum):
-    """The parts that write log lines; each line opens with its part."""
+    """Parts of the system that write log lines; the part prefixes each message."""
 
     ENTRY = "entry"
     OWNER = "owner"
@@ -19,7 +19,7 @@
 
 
 class Log(msgspec.Struct):
-    """A log line: one short sentence, and the values that led to it."""
+    """A log line: a short message, and the values that led to it."""
 
     part: Part
     sentence: str
--- a/src/cactuswalk/runtime/dispatchagent.py
+++ b/src/cactuswalk/runtime/dispatchagent.py
@@ -76,7 +76,8 @@
     async def run(self) -> None:
         """Run until a planned stop is complete."""
         signal.signal(
-            signal.SIGHUP, lambda *_: self.runtime.say("settings have changed")
+            signal.SIGHUP,
+            lambda *_: self.runtime.say("ignores SIGHUP: settings are read at start"),
         )
         self.runtime.add_store()
         edge = AnnouncementHandler(
--- a/src/cactuswalk/runtime/storewatch.py
+++ b/src/cactuswalk/runtime/storewatch.py
@@ -54,7 +54,11 @@
 
 
 class StoreBackoff:
-    """Back-off between failed calls; logs the start and the end of an outage."""
+    """Back-off between failed calls; logs the start and the end of an outage.
+
+    :param what: what the calls read or write, for the log lines.
+    :param say: writes a log line with the given fields.
+    """
 
     def __init__(
         self,
--- a/src/cactuswalk/settings/__init__.py
+++ b/src/cactuswalk/settings/__init__.py
@@ -1,4 +1,4 @@
-"""INI settings, checked whole at start."""
+"""INI settings; a start reports all mistakes of a file at once."""
 
 from cactuswalk.settings.agent import AgentSettings, load_agent
 from cactuswalk.settings.dispatch import (
--- a/src/cactuswalk/settings/agent.py
+++ b/src/cactuswalk/settings/agent.py
@@ -32,34 +32,35 @@
 
 __all__ = ["AgentSettings", "load_agent"]
 
-# An agent may take 64 MB (letter). It takes 52 MB at rest, and an owner's answers of
-# the last ten seconds take up to 5 MB that no bound may cut (docs/measurements/
-# path.md, docs/design/path.md). Half of this is for records, some 5,000 of them.
+# An agent may take 64 MB (customer's limit). It takes 52 MB when idle, and an owner's
+# answers of the last ten seconds up to 5 MB that must not be evicted
+# (docs/measurements/path.md, docs/design/path.md). Half of this default is for
+# records, about 5,000 of them.
 DEFAULT_RETENTION_BYTES = 6 << 20
 
-# The owner's standing and a start's stamp last this long; a takeover waits for
-# twice that. Shorter lets a pause of the host interrupt starts, longer delays
-# the takeover after an owner's death.
+# An owner's confirmation and the stamp of a start are valid for this long; a takeover
+# waits for twice that. If shorter, a pause of the host interrupts starts; if longer,
+# the takeover from a failed owner is delayed.
 DEFAULT_CONFIRM_PERIOD_MS = 1_000
 
-# Four pings in a confirm period: three in a row may be lost.
+# Four pings per confirm period: three in a row may be lost.
 DEFAULT_PING_PERIOD_MS = 250
 
-# One lost ping must not cost an owner its standing.
+# An owner must stay confirmed if one ping is lost.
 MIN_PINGS_PER_PERIOD = 3
 
 
 class AgentSettings(msgspec.Struct):
-    """All that an agent is told at its start.
+    """Settings of an agent.
 
     :param address: where other processes send messages, ``tcp://ip:port``.
-    :param listen: where this one listens for them; empty for ``address``.
-    :param labels: of the worker; the upstream's announcement adds its own.
-    :param http: on the loopback, where the upstream announces itself.
-    :param confirm_period_ms: P of docs/design/ownership.md.
-    :param peers: addresses of entries, to learn the configuration from, and who
-        owns the cell if the service has lost its record.
-    :param guard: whether tasks that outgrow their declaration are dealt with.
+    :param listen: the address to bind, if it differs from ``address``; else empty.
+    :param labels: labels of the worker; the upstream's announcement adds its own.
+    :param http: loopback address at which the upstream announces itself.
+    :param confirm_period_ms: P in docs/design/ownership.md.
+    :param peers: addresses of entries, to get the configuration from, and the owner of
+        the cell if the key-value service has lost that record.
+    :param guard: whether the agent acts on tasks that exceed their declaration.
     """
 
     worker: str
@@ -83,9 +84,9 @@
 
 
 def load_agent(path: str | Path) -> AgentSettings:
-    """Read the settings of an agent.
+    """Load the settings of an agent.
 
-    :raises InvalidSettingsError: with every mistake in the file.
+    :raises InvalidSettingsError: lists every mistake in the file.
     """
     reader = Reader(path)
     settings = AgentSettings(
@@ -123,7 +124,9 @@
     labels = {}
     for key, value in reader.items("labels"):
         if not is_name(key) or not is_name(value):
-            reader.add_mistake("labels", key, value, "is no label", NAME_REMEDY)
+            reader.add_mistake(
+                "labels", key, value, "is not a valid label", NAME_REMEDY
+            )
             continue
         labels[key] = value
     return labels
--- a/src/cactuswalk/settings/converters.py
+++ b/src/cactuswalk/settings/converters.py
@@ -1,4 +1,8 @@
-"""Converters from an option's text to its value, each with its remedies."""
+"""Converters from the text of an option to its value.
+
+A converter raises ``RejectedValueError``, with a remedy, for a value that it can't
+convert.
+"""
 
 import ipaddress
 import re
@@ -26,8 +30,8 @@
     "z85_key",
 ]
 
-# Names go into metric names, log lines and keys of the key-value service, so
-# they hold no separator of any of them: no dot, slash, colon or white space.
+# Names are parts of metric names, log lines and keys of the key-value service, so
+# they contain no separator of these: no dot, slash, colon or white space.
 _NAME = re.compile(r"[^\W_][\w-]{0,62}")
 NAME_REMEDY = "Use up to 63 letters, digits, '-' and '_', a letter or digit first."
 
@@ -37,46 +41,46 @@
 
 
 def non_empty_text(raw: str) -> str:
-    """Take any text that is not empty."""
+    """Accept any non-empty text."""
     if not raw:
         raise RejectedValueError("is empty", "Give a value or remove the line.")
     return raw
 
 
 def is_name(raw: str) -> bool:
-    """Say whether a text can name something."""
+    """Return whether a text is a valid name."""
     return _NAME.fullmatch(raw) is not None
 
 
 def name(raw: str) -> str:
-    """Take a name."""
+    """Accept a valid name."""
     if not is_name(raw):
-        raise RejectedValueError("is no name", NAME_REMEDY)
+        raise RejectedValueError("is not a valid name", NAME_REMEDY)
     return raw
 
 
 def integer(minimum: int, maximum: int) -> Callable[[str], int]:
-    """Return a converter of whole numbers within two bounds."""
+    """Return a converter for whole numbers in a range, bounds included."""
 
     def convert(raw: str) -> int:
         remedy = f"Give a whole number from {minimum} to {maximum}."
         if not re.fullmatch(r"-?[0-9]{1,18}", raw):
-            raise RejectedValueError("is no whole number", remedy)
+            raise RejectedValueError("is not a whole number", remedy)
         value = int(raw)
         if not minimum <= value <= maximum:
-            raise RejectedValueError("is out of bounds", remedy)
+            raise RejectedValueError("is out of range", remedy)
         return value
 
     return convert
 
 
 def one_of(*choices: str) -> Callable[[str], str]:
-    """Return a converter that takes one of some words."""
+    """Return a converter that accepts one of the given words."""
 
     def convert(raw: str) -> str:
         if raw not in choices:
             raise RejectedValueError(
-                "is no choice", f"Give one of: {', '.join(choices)}."
+                "is not an allowed value", f"Give one of: {', '.join(choices)}."
             )
         return raw
 
@@ -84,7 +88,7 @@
 
 
 def list_of(convert: Callable[[str], str]) -> Callable[[str], list[str]]:
-    """Return a converter of lists, separated by commas or white space."""
+    """Return a converter for lists separated by commas or white space."""
 
     def convert_all(raw: str) -> list[str]:
         return [convert(part) for part in re.split(r"[,\s]+", raw) if part]
@@ -93,53 +97,53 @@
 
 
 def ip_address(raw: str) -> str:
-    """Take an IP number; host names are not looked up."""
+    """Accept an IP address; host names are not resolved."""
     try:
         return str(ipaddress.ip_address(raw))
     except ValueError:
-        remedy = "Give an IP number such as 127.0.0.1; names are not looked up."
-        raise RejectedValueError("is no IP number", remedy) from None
+        remedy = "Give an IP address such as 127.0.0.1; host names are not resolved."
+        raise RejectedValueError("is not an IP address", remedy) from None
 
 
 def loopback_address(raw: str) -> str:
-    """Take an IP number of the loopback."""
+    """Accept a loopback address."""
     address = ip_address(raw)
     if not ipaddress.ip_address(address).is_loopback:
-        remedy = "Give 127.0.0.1: only the upstream beside the agent may announce."
-        raise RejectedValueError("is not on the loopback", remedy)
+        remedy = "Give 127.0.0.1: only the upstream on this host may announce itself."
+        raise RejectedValueError("is not a loopback address", remedy)
     return address
 
 
 def message_address(raw: str) -> str:
-    """Take ``tcp://ip:port`` as another process would reach it."""
+    """Accept ``tcp://ip:port`` as other processes can reach it."""
     remedy = "Write tcp://IP:PORT, such as tcp://10.1.0.4:7000, with a port above 0."
     try:
         parts = urlsplit(raw)
         host, port = parts.hostname, parts.port
         address = ipaddress.ip_address(host or "")
     except ValueError:
-        raise RejectedValueError("is no message address", remedy) from None
+        raise RejectedValueError("is not a message address", remedy) from None
     rest = parts.path or parts.query or parts.fragment or parts.username
     if parts.scheme != "tcp" or not port or rest:
-        raise RejectedValueError("is no message address", remedy)
+        raise RejectedValueError("is not a message address", remedy)
     if address.is_unspecified:
-        remedy = "Give the IP number at which the other processes reach this one."
-        raise RejectedValueError("can't be reached by others", remedy)
+        remedy = "Give the IP address at which other processes reach this one."
+        raise RejectedValueError("can't be reached by other processes", remedy)
     return raw
 
 
 def peer_address(raw: str) -> str:
-    """Take a message address, with the public key to be found there if any."""
+    """Accept a message address, optionally with the public key to expect there."""
     address, separator, key = raw.partition("?key=")
     if separator and not _CURVE_HEX.fullmatch(key):
         remedy = "Write tcp://IP:PORT?key=HEX, as docs/operations/settings.md shows."
-        raise RejectedValueError("names no public key", remedy)
+        raise RejectedValueError("has no valid public key", remedy)
     message_address(address)
     return raw
 
 
 def url(raw: str) -> str:
-    """Take an ``http://`` or ``https://`` address without a path."""
+    """Accept an ``http://`` or ``https://`` URL without a path."""
     remedy = "Write http://IP:PORT or https://IP:PORT."
     try:
         parts = urlsplit(raw)
@@ -148,12 +152,12 @@
     except ValueError:
         known = False
     if not known or parts.path.strip("/") or parts.query or parts.fragment:
-        raise RejectedValueError("is no endpoint", remedy)
+        raise RejectedValueError("is not an endpoint URL", remedy)
     return raw.rstrip("/")
 
 
 def existing_file(raw: str) -> str:
-    """Take the path of a file that can be read."""
+    """Accept the path of a readable file."""
     try:
         with Path(raw).open("rb"):
             return raw
@@ -165,16 +169,16 @@
 
 
 def token_digest(raw: str) -> str:
-    """Take the SHA-256 of a token in hexadecimal."""
+    """Accept the SHA-256 digest of a token in hexadecimal."""
     if not _SHA256.fullmatch(raw):
         remedy = "Give 64 hexadecimal digits: printf %s TOKEN | sha256sum."
-        raise RejectedValueError("is no SHA-256 of a token", remedy)
+        raise RejectedValueError("is not a SHA-256 digest of a token", remedy)
     return raw
 
 
 def z85_key(raw: str) -> str:
-    """Take a CURVE key in ZeroMQ's Z85 text."""
+    """Accept a CURVE key in Z85 encoding."""
     if not _Z85.fullmatch(raw):
         remedy = "Give the 40 characters that zmq.curve_keypair() returns."
-        raise RejectedValueError("is no CURVE key", remedy)
+        raise RejectedValueError("is not a CURVE key", remedy)
     return raw
--- a/src/cactuswalk/settings/dispatch.py
+++ b/src/cactuswalk/settings/dispatch.py
@@ -1,7 +1,7 @@
 """Settings of ``cactuswalk-dispatch-entry`` and ``cactuswalk-dispatch-agent``.
 
-On a platform that fills in a template, deploy/entry.ini and deploy/agent.ini are
-those templates.
+deploy/entry.ini and deploy/agent.ini are templates of these settings, for platforms
+that fill in templates.
 """
 
 from pathlib import Path
@@ -31,21 +31,22 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return it as it is written."""
+        """Return the endpoint as in a settings file."""
         return f"{self.host}:{self.port}"
 
 
 class DispatchSettings(msgspec.Struct, kw_only=True):
-    """What entries and agents are both told at their start.
+    """Settings that entries and agents have in common.
 
-    :param messages: where other processes send messages.
-    :param seeds: message addresses of some entries.
+    :param messages: the address at which this process receives messages.
+    :param seeds: message addresses of some entries, to find the others.
+    :param grace_seconds: time that a planned stop may take.
     """
 
     name: str
@@ -60,9 +61,11 @@
 
 
 class DispatchEntrySettings(DispatchSettings, kw_only=True):
-    """All that an entry is told at its start.
+    """Settings of an entry.
 
-    :param far_factor: by which a task takes longer away from its data's rack.
+    :param callers: address of the callers' HTTP interface.
+    :param readiness: address of the balancer's readiness checks.
+    :param far_factor: how many times longer a task takes outside its data's rack.
     """
 
     callers: Endpoint
@@ -71,12 +74,12 @@
 
 
 class DispatchAgentSettings(DispatchSettings, kw_only=True):
-    """All that an agent is told at its start.
+    """Settings of an agent.
 
-    :param announcements: where the worker on this host sends its heartbeats.
-    :param worker: where that worker takes calls.
-    :param service: the one that it belongs to.
-    :param drain_seconds: how long after it was heard to drain it may be given tasks.
+    :param announcements: address at which the worker on this host sends heartbeats.
+    :param worker: address at which that worker accepts calls.
+    :param service: the service that the worker belongs to.
+    :param drain_seconds: how long a worker that reports draining may get tasks.
     """
 
     announcements: Endpoint
@@ -86,9 +89,9 @@
 
 
 def load_dispatch_entry(path: str | Path) -> DispatchEntrySettings:
-    """Read the settings of an entry.
+    """Load the settings of an entry.
 
-    :raises InvalidSettingsError: with every mistake in the file.
+    :raises InvalidSettingsError: lists every mistake in the file.
     """
     reader = Reader(path)
     settings = DispatchEntrySettings(
@@ -102,9 +105,9 @@
 
 
 def load_dispatch_agent(path: str | Path) -> DispatchAgentSettings:
-    """Read the settings of an agent.
+    """Load the settings of an agent.
 
-    :raises InvalidSettingsError: with every mistake in the file.
+    :raises InvalidSettingsError: lists every mistake in the file.
     """
     reader = Reader(path)
     settings = DispatchAgentSettings(
@@ -138,44 +141,44 @@
 
 
 def endpoint(raw: str) -> Endpoint:
-    """Take ``ip:port``."""
+    """Accept ``ip:port``."""
     host, _, port = raw.rpartition(":")
     if not host or not port.isdigit():
         raise RejectedValueError(
-            "is no address", "Write IP:PORT, such as 10.1.0.4:8161."
+            "is not an address", "Write IP:PORT, such as 10.1.0.4:8161."
         )
     return Endpoint(host, int(port))
 
 
 def decimal(minimum: float, maximum: float):
-    """Return a converter of numbers within two bounds."""
+    """Return a converter for numbers in a range, bounds included."""
 
     def convert(raw: str) -> float:
         remedy = f"Give a number from {minimum} to {maximum}."
         try:
             value = float(raw)
         except ValueError:
-            raise RejectedValueError("is no number", remedy) from None
+            raise RejectedValueError("is not a number", remedy) from None
         if not minimum <= value <= maximum:
-            raise RejectedValueError("is out of bounds", remedy)
+            raise RejectedValueError("is out of range", remedy)
         return value
 
     return convert
 
 
 def _read_messages(reader: Reader) -> Endpoint:
-    """Read where messages arrive: the first of the ports that are free for it."""
+    """Read the message address; its port is the first of the listed ports."""
     host = reader.get("messages", "host", non_empty_text, "")
     ports = reader.get("messages", "ports", list_of(integer(1, 65_535)), [0])
     return Endpoint(host, ports[0])
 
 
 def _read_seeds(reader: Reader, port: int) -> list[str]:
-    """Read some entries' addresses; their message port is the same as this one's."""
+    """Read the seeds' hosts; all entries use this process's message port."""
     seeds = reader.get("messages", "seeds", list_of(endpoint), [])
     return [message_url(Endpoint(seed.host, port)) for seed in seeds]
 
 
 def message_url(address: Endpoint) -> str:
-    """Return the address that other processes send messages to."""
+    """Return the ZeroMQ URL of a message address."""
     return f"tcp://{address}"
--- a/src/cactuswalk/settings/entry.py
+++ b/src/cactuswalk/settings/entry.py
@@ -32,24 +32,24 @@
 
 __all__ = ["CallerIdentity", "EntrySettings", "LimitSettings", "load_entry"]
 
-# A job of 140 tasks (brief) then has some 7 kB for each of them. It is also the
-# size of the largest value that the platform keeps.
+# Leaves about 7 kB for each task of a job of 140 tasks, the largest in the brief. It is
+# also the size of the largest value that the platform stores.
 DEFAULT_BODY_BYTES = 1 << 20
 
-# Today's 11 workers have 88 slots. At the brief's shortest task, 50 ms, they
-# finish 1,760 tasks a second, so this is about a second of the best case; what
-# waits longer than that is better refused than kept.
+# Today's 11 workers have 88 slots. With the shortest tasks in the brief, 50 ms, they
+# finish 1,760 tasks a second, so this is about one second of the best case. Requests
+# that would wait longer are better refused.
 DEFAULT_WAITING_REQUESTS = 2_000
 
-# "A few last several seconds" (brief): twice five of them.
+# "A few last several seconds" (brief): twice five seconds.
 DEFAULT_DEADLINE_MS = 10_000
 
-# A caller that wants to wait longer asks again with the same key.
+# A caller that wants to wait longer sends the request again with the same key.
 DEFAULT_MAX_DEADLINE_MS = 60_000
 
 
 class LimitSettings(msgspec.Struct):
-    """Bounds on what callers may ask of an entry."""
+    """Limits on callers' requests."""
 
     body_bytes: int
     waiting_requests: int
@@ -58,21 +58,21 @@
 
 
 class CallerIdentity(msgspec.Struct, frozen=True):
-    """Whom a token stands for."""
+    """The caller and the team that a token authenticates."""
 
     caller: str
     team: str
 
 
 class EntrySettings(msgspec.Struct):
-    """All that an entry is told at its start.
-
-    :param address: where other processes send messages, ``tcp://ip:port``.
-    :param listen: where this one listens for them; empty for ``address``.
-    :param operators_http: None where this entry serves no operators.
-    :param peers: addresses of processes to learn the configuration from.
-    :param callers: by the SHA-256 of the token, in hexadecimal.
-    :param operators: names of operators, by the SHA-256 of the token.
+    """Settings of an entry.
+
+    :param address: address to which other processes send messages, ``tcp://ip:port``.
+    :param listen: the address to bind, if it differs from ``address``; else empty.
+    :param operators_http: None if this entry serves no operators.
+    :param peers: addresses of processes to get the configuration from.
+    :param callers: callers by the SHA-256 digest of their token, in hexadecimal.
+    :param operators: names of operators by the SHA-256 digest of their token.
     """
 
     name: str
@@ -93,9 +93,9 @@
 
 
 def load_entry(path: str | Path) -> EntrySettings:
-    """Read the settings of an entry.
+    """Load the settings of an entry.
 
-    :raises InvalidSettingsError: with every mistake in the file.
+    :raises InvalidSettingsError: lists every mistake in the file.
     """
     reader = Reader(path)
     settings = EntrySettings(
@@ -158,18 +158,18 @@
 
 
 def _read_callers(reader: Reader) -> dict[str, CallerIdentity]:
-    """Read ``caller = team, digest, ...``; two digests let a token be replaced."""
+    """Read ``caller = team, digest, ...``; two digests allow a token rotation."""
     section = "callers"
     callers: dict[str, CallerIdentity] = {}
     lines = reader.items(section)
     if not lines:
         remedy = "Add a line 'CALLER = TEAM, SHA256-OF-TOKEN' for each caller."
-        reader.add_mistake(section, "", "", "names no caller", remedy)
+        reader.add_mistake(section, "", "", "lists no caller", remedy)
     for caller, raw in lines:
         team, _, digests = raw.partition(",")
         team = team.strip()
         if not is_name(caller) or not is_name(team):
-            reason = "names no caller and team"
+            reason = "is not a caller with its team"
             remedy = f"Write 'CALLER = TEAM, SHA256'. {NAME_REMEDY}"
             reader.add_mistake(section, caller, "", reason, remedy)
             continue
@@ -186,10 +186,12 @@
     lines = reader.items(section)
     if reader.parser.has_section("operators_http") and not lines:
         remedy = "Add a line 'OPERATOR = SHA256-OF-TOKEN' for each operator."
-        reader.add_mistake(section, "", "", "names no operator", remedy)
+        reader.add_mistake(section, "", "", "lists no operator", remedy)
     for operator, raw in lines:
         if not is_name(operator):
-            reader.add_mistake(section, operator, "", "is no name", NAME_REMEDY)
+            reader.add_mistake(
+                section, operator, "", "is not a valid name", NAME_REMEDY
+            )
             continue
         for digest in _read_digests(reader, section, operator, raw):
             _check_not_repeated(reader, section, operator, operators, digest)
@@ -198,7 +200,7 @@
 
 
 def _read_digests(reader: Reader, section: str, key: str, raw: str) -> list[str]:
-    # A token itself, pasted where its digest belongs, must not reach a log.
+    # A token entered by mistake instead of its digest must not appear in a log.
     try:
         digests = list_of(token_digest)(raw)
     except RejectedValueError as rejected:
@@ -206,7 +208,7 @@
         return []
     if not digests:
         remedy = "Give the SHA-256 of the token: printf %s TOKEN | sha256sum."
-        reader.add_mistake(section, key, "", "has no token", remedy)
+        reader.add_mistake(section, key, "", "has no token digest", remedy)
     return digests
 
 
@@ -214,8 +216,10 @@
     reader: Reader, section: str, key: str, by_digest: dict, digest: str
 ) -> None:
     if digest in by_digest:
-        remedy = "Give each its own token; two can't be told apart by one."
-        reader.add_mistake(section, key, "", "repeats another one's token", remedy)
+        remedy = "Give each a token of its own; a shared one can't tell them apart."
+        reader.add_mistake(
+            section, key, "", "has the same token as another one", remedy
+        )
 
 
 def _check_addresses(reader: Reader, settings: EntrySettings) -> None:
@@ -223,7 +227,11 @@
     if operators is None or not operators.port:
         return
     if (operators.host, operators.port) == (settings.http.host, settings.http.port):
-        remedy = "Give callers and operators a port each."
+        remedy = "Give callers and operators different ports."
         reader.add_mistake(
-            "operators_http", "port", str(operators.port), "is the callers'", remedy
+            "operators_http",
+            "port",
+            str(operators.port),
+            "is already used for callers",
+            remedy,
         )
--- a/src/cactuswalk/settings/reader.py
+++ b/src/cactuswalk/settings/reader.py
@@ -1,4 +1,4 @@
-"""Read an INI file option by option, and gather every mistake in it."""
+"""Read an INI file option by option and collect all mistakes in it."""
 
 import configparser
 import difflib
@@ -16,10 +16,10 @@
 
 
 class Mistake(msgspec.Struct, frozen=True):
-    """One thing that is wrong with a settings file.
+    """One mistake in a settings file.
 
-    :param key: empty where the whole section is meant.
-    :param value: as written; empty where there is none or it is secret.
+    :param key: empty if the mistake concerns the whole section.
+    :param value: as in the file; empty if there is none or it is secret.
     """
 
     section: str
@@ -29,34 +29,36 @@
     remedy: str
 
     def show(self) -> str:
-        """Return the mistake as one line and its remedy as another."""
+        """Return the mistake on one line and its remedy on another."""
         place = f"[{self.section}] {self.key}".strip()
         raw = f" = {self.value}" if self.value else ""
         return f"{place}{raw}: {self.reason}\n    Remedy: {self.remedy}"
 
 
 class InvalidSettingsError(SettingsError):
-    """A settings file with mistakes; ``mistakes`` holds every one of them."""
+    """A settings file has mistakes; ``mistakes`` holds all of them."""
 
     def __init__(self, path: Path, mistakes: list[Mistake]) -> None:
         lines = "".join(f"\n  {mistake.show()}" for mistake in mistakes)
         super().__init__(
             f"{path} has {len(mistakes)} mistake(s):{lines}",
-            "Correct each of them; nothing has been started.",
+            "Correct all of them; nothing has been started.",
         )
         self.path = path
         self.mistakes = mistakes
 
 
 class RejectedValueError(SettingsError):
-    """A value that a converter can't take; the reader makes a mistake of it."""
+    """A converter rejected a value; the reader records it as a mistake."""
 
 
 class Reader:
-    """One settings file while it is read.
+    """Reads the options of one settings file.
 
-    :param path: the file.
-    :raises InvalidSettingsError: if the file can't be read as INI at all.
+    Records the sections and options that are read, so that unknown ones are reported.
+
+    :param path: path of the settings file.
+    :raises InvalidSettingsError: if the file can't be parsed as INI.
     """
 
     __slots__ = ("path", "parser", "mistakes", "asked")
@@ -68,7 +70,7 @@
         self.parser = self._parse()
 
     def allow_section(self, section: str) -> bool:
-        """Say whether an optional section is there; it is known from now on."""
+        """Allow an optional section in the file; return whether it is there."""
         self.asked.setdefault(section, set())
         return self.parser.has_section(section)
 
@@ -80,12 +82,12 @@
         default: Any = _REQUIRED,
         secret: bool = False,
     ) -> Any:
-        """Return a converted option, or its default.
+        """Return the converted value of an option, or its default.
 
-        A wrong or missing one is noted, and the default (or None) returned, so
-        that the rest of the file is checked too.
+        For an invalid or missing option this records a mistake and returns the default
+        (or None), so that the rest of the file is checked too.
 
-        :param secret: never repeat the value in a message.
+        :param secret: whether to leave the value out of messages.
         """
         keys = self.asked.setdefault(section, set())
         if keys is not None:
@@ -106,7 +108,7 @@
             return fallback
 
     def items(self, section: str) -> list[tuple[str, str]]:
-        """Return all options of a section whose keys are the reader's own."""
+        """Return all options of a section with arbitrary option names."""
         self.asked[section] = None
         if not self.parser.has_section(section):
             return []
@@ -115,18 +117,20 @@
     def add_mistake(
         self, section: str, key: str, value: str, reason: str, remedy: str
     ) -> None:
-        """Note a mistake."""
+        """Record a mistake."""
         self.mistakes.append(Mistake(section, key, value, reason, remedy))
 
     def raise_if_invalid(self) -> None:
-        """Note what nobody asked for, and raise if there are mistakes.
+        """Record unknown sections and options; raise if there are mistakes.
+
+        Otherwise a misspelt option would silently leave a default in force.
 
-        A misspelt option would otherwise leave a default in force unseen.
+        :raises InvalidSettingsError: lists every mistake in the file.
         """
         for section in self.parser.sections():
             if section not in self.asked:
                 remedy = _suggest(section, list(self.asked), "section")
-                self.add_mistake(section, "", "", "is no section of this file", remedy)
+                self.add_mistake(section, "", "", "is not a known section", remedy)
                 continue
             keys = self.asked[section]
             if keys is not None:
@@ -138,9 +142,7 @@
         for key in self.parser.options(section):
             if key not in keys:
                 remedy = _suggest(key, sorted(keys), "option")
-                self.add_mistake(
-                    section, key, "", "is no option of this section", remedy
-                )
+                self.add_mistake(section, key, "", "is not a known option", remedy)
 
     def _parse(self) -> configparser.ConfigParser:
         try:
@@ -157,7 +159,7 @@
             configparser.DuplicateSectionError,
         ) as error:
             key = getattr(error, "option", "")
-            reason = f"stands twice, again on line {error.lineno}"
+            reason = f"is given twice, again on line {error.lineno}"
             self.add_mistake(error.section, key, "", reason, "Keep one of the two.")
         except configparser.Error as error:
             self._raise_not_ini(error)
@@ -167,10 +169,10 @@
             self._raise_not_ini(error)
 
     def _raise_not_ini(self, error: configparser.Error) -> None:
-        """Give up on a file that is no INI; the rest of it can't be told.
+        """Raise for a file that is not in INI format.
 
-        The parser's message repeats lines of the file, which may hold a secret,
-        so only their numbers are shown.
+        The parser's message quotes lines of the file, which may contain a secret, so
+        only the line numbers are reported.
         """
         if isinstance(error, configparser.MissingSectionHeaderError):
             lines = [error.lineno]
@@ -178,7 +180,9 @@
             lines = [line for line, _ in getattr(error, "errors", [])]
         where = ", ".join(str(line) for line in lines) or "unknown"
         remedy = "Write '[section]' lines and 'key = value' lines only."
-        self.add_mistake("file", "", "", f"is no INI, see line {where}", remedy)
+        self.add_mistake(
+            "file", "", "", f"is not in INI format, see line {where}", remedy
+        )
         raise InvalidSettingsError(self.path, self.mistakes) from error
 
 
--- a/src/cactuswalk/settings/shared.py
+++ b/src/cactuswalk/settings/shared.py
@@ -1,4 +1,4 @@
-"""Sections that entries and agents have in common."""
+"""Settings sections that entries and agents have in common."""
 
 import msgspec
 
@@ -31,8 +31,8 @@
     "read_statsd",
 ]
 
-# The platform's service answers in milliseconds (brief). Two seconds is long
-# past a slow answer and short against a lease.
+# The platform's key-value service answers in milliseconds (brief). Two seconds are far
+# longer than a slow answer and short compared with a lease.
 DEFAULT_KEY_VALUE_TIMEOUT_MS = 2_000
 
 DEFAULT_STATSD_PORT = 8125
@@ -41,9 +41,9 @@
 
 
 class HttpSettings(msgspec.Struct):
-    """Where a process listens for HTTP, with TLS if both paths are set.
+    """Address of an HTTP server, with TLS if both paths are set.
 
-    :param port: 0 lets the system choose one.
+    :param port: 0 lets the system choose a free port.
     """
 
     host: str
@@ -53,7 +53,7 @@
 
 
 class KeyValueSettings(msgspec.Struct):
-    """How the platform's key-value service is reached."""
+    """Endpoints of the platform's key-value service, and the prefix of all keys."""
 
     endpoints: list[str]
     prefix: str
@@ -61,7 +61,7 @@
 
 
 class CurveSettings(msgspec.Struct):
-    """Keys that encrypt the messages between processes.
+    """CURVE keys that encrypt messages between processes.
 
     :param allowed_keys: public keys of the processes that may connect.
     """
@@ -72,7 +72,7 @@
 
 
 class StatsdSettings(msgspec.Struct):
-    """Where metrics go."""
+    """The StatsD server, and the prefix of metric names."""
 
     host: str
     port: int
@@ -80,14 +80,14 @@
 
 
 class LogSettings(msgspec.Struct):
-    """What is logged, and where to: ``stdout``, ``stderr`` or a path."""
+    """Log level and destination: ``stdout``, ``stderr`` or a file path."""
 
     level: str
     destination: str
 
 
 def read_http(reader: Reader, section: str, host=ip_address) -> HttpSettings:
-    """Read where to listen."""
+    """Read the section of an HTTP server."""
     settings = HttpSettings(
         host=reader.get(section, "host", host, "127.0.0.1"),
         port=reader.get(section, "port", integer(0, 65_535)),
@@ -106,7 +106,7 @@
 
 
 def read_key_value(reader: Reader) -> KeyValueSettings:
-    """Read how to reach the key-value service."""
+    """Read the section of the key-value service."""
     section = "key_value"
     endpoints = reader.get(section, "endpoints", list_of(url))
     if endpoints == []:
@@ -122,18 +122,18 @@
 
 
 def read_listen(reader: Reader) -> str:
-    """Read where messages arrive, empty for the address that peers are told."""
+    """Read the address to bind; empty if it is the announced address."""
     return reader.get("process", "listen", message_address, "")
 
 
 def read_peers(reader: Reader) -> list[str]:
-    """Read whom to ask for the configuration while the service is away."""
+    """Read the peers that have the configuration if the service is unavailable."""
     reader.allow_section("peers")
     return reader.get("peers", "addresses", list_of(peer_address), [])
 
 
 def read_curve(reader: Reader) -> CurveSettings | None:
-    """Read the keys between processes; None where messages are not encrypted."""
+    """Read the CURVE keys; None if messages are not encrypted."""
     section = "curve"
     if not reader.allow_section(section):
         return None
@@ -148,7 +148,7 @@
 
 
 def read_statsd(reader: Reader) -> StatsdSettings | None:
-    """Read where metrics go; None for nowhere."""
+    """Read the StatsD server; None if no metrics are sent."""
     section = "statsd"
     if not reader.allow_section(section):
         return None
@@ -160,7 +160,7 @@
 
 
 def read_logs(reader: Reader) -> LogSettings:
-    """Read what is logged and where to."""
+    """Read the log level and destination."""
     section = "logs"
     reader.allow_section(section)
     return LogSettings(
