--- a/features/process_keys.feature
+++ b/features/process_keys.feature
@@ -1,17 +1,17 @@
-Feature: Keys between real processes
+Feature: CURVE keys between real processes
 
   Scenario: A deployment with keys serves
-    Someone who can listen on the network reads the vaccination records of pets
-    unless what the processes say to each other is encrypted.
+    Unless messages between processes are encrypted, anyone with access to the
+    network can read the contents of callers' tasks.
     Given a deployment of three workers with one key pair
     When the deployment with keys starts
     Then each entry of the deployment with keys serves
     And what a process of the deployment with keys says can't be read on the way
 
-  Scenario Outline: An agent <how> gets nowhere
-    A host outside the fleet reaches the network and the key-value service, and
-    starts an agent there. Were it let in, callers' work would land on it and
-    its answers would be believed.
+  Scenario Outline: An agent <how> is refused
+    Someone starts an agent on a host outside the fleet that can reach the network,
+    including the key-value service. If it were accepted, it would get callers'
+    tasks, with its answers trusted.
     Given a deployment of three workers with one key pair
     And a stranger's agent <how> beside them
     When the deployment with keys starts
--- a/features/settings_files.feature
+++ b/features/settings_files.feature
@@ -1,6 +1,6 @@
-Feature: Settings are checked whole at start
+Feature: All settings are checked at start
 
-  Scenario Outline: The example settings are right
+  Scenario Outline: The example settings are valid
     Given the example settings "<file>" of an <kind>
     When the settings are loaded
     Then the settings name the data centre "<data_centre>"
@@ -12,9 +12,9 @@
       | labuta-unita-entry.ini     | entry | Brașov      |
       | labuta-unita-agent.ini     | agent | Mureș       |
 
-  Scenario: All mistakes of a file come at once
-    Somebody writes a new host's settings in a hurry. If each start told of one
-    mistake only, the buses would have left before the entry was up.
+  Scenario: All mistakes of a file are reported at once
+    If each start reported only one mistake, setting up a new host would take as
+    many starts as its settings have mistakes.
     Given settings of an entry with these options changed
       | section | option              | value           |
       | process | address             | tcp://depot:70  |
@@ -36,9 +36,10 @@
       | htpp    |                     | Did you mean 'http'?            |
     And the settings error has exit code 2 and shows no "swordfish"
 
-  Scenario: Mistakes of an agent's file come at once
-    An agent that listens beyond the loopback would let any host withdraw its
-    upstream; one that pings too seldom would lose its cell with one message.
+  Scenario: All mistakes of an agent's file are reported at once
+    If an agent accepted announcements from other addresses than the loopback, any
+    host could withdraw its upstream. If it pinged too seldom, one lost message
+    would cost it the ownership of its cell.
     Given settings of an agent with these options changed
       | section | option         | value    |
       | http    | host           | 10.0.0.1 |
@@ -55,15 +56,15 @@
       | peers   | addresses      | Write tcp://IP:PORT?key=HEX |
       | cell    | ping_period_ms | Give at most 333    |
 
-  Scenario: A peer may be written with the key to be found there
+  Scenario: A peer address may contain the public key to expect
     Given settings of an agent with these options changed
       | section | option    | value                                                                                              |
       | peers   | addresses | tcp://10.1.0.4:7000, tcp://[::1]:7000?key=00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff |
     When the settings are loaded
     Then the settings name the data centre "Dingwall"
 
-  Scenario: A missing file and a file that is no INI are told apart
-    When settings are loaded from a file that is not there
+  Scenario: A missing file and a file that is not INI have different remedies
+    When settings are loaded from a missing file
     Then the settings mistakes are
       | section | option | remedy                 |
       | file    |        | Give the path          |
@@ -73,7 +74,7 @@
       | file    |        | Write '[section]'      |
     And the settings error has exit code 2 and shows no "swordfish"
 
-  Scenario: Any text is either taken or refused with remedies
-    A half-written file must never end in a traceback.
-    When Hypothesis writes settings of both kinds
+  Scenario: Any text is either loaded or refused with remedies
+    An incomplete file must never cause a traceback.
+    When Hypothesis generates settings of both kinds
     Then each is loaded or refused with a remedy for each mistake
--- a/features/steps/logs_metrics_steps.py
+++ b/features/steps/logs_metrics_steps.py
@@ -26,7 +26,7 @@
     add_clean_up(context, context.logs.close)
 
 
-@when("a decision of the owner is logged with awkward fields")
+@when("a decision of the owner is logged with fields that are hard to encode")
 def step_write(context):
     sentence = "task 0 of vets/a starts on w7: most free slots"
     fields = {
@@ -70,21 +70,21 @@
     assert wanted.items() <= context.line.items(), context.line
 
 
-def say_numbered(context, count):
+def log_numbered_lines(context, count):
     for number in range(count):
         context.logs.say(Part.OWNER, f"line {number}")
 
 
-def lines_of(context):
+def read_lines(context):
     return context.log_path.read_text(encoding="utf-8").splitlines()
 
 
-@when("{count:d} decisions are logged in one turn of a loop that runs for a while")
-def step_one_turn(context, count):
+@when("{count:d} decisions are logged in one iteration of a loop that keeps running")
+def step_one_iteration(context, count):
     async def say():
-        say_numbered(context, count)
-        context.lines_after_turn = lines_of(context)
-        await until(lambda: len(lines_of(context)) == count)
+        log_numbered_lines(context, count)
+        context.lines_after_iteration = read_lines(context)
+        await until(lambda: len(read_lines(context)) == count)
 
     run(context, say())
 
@@ -92,34 +92,36 @@
 @when("{count:d} decisions are logged in a loop that closes the log at once")
 def step_say_and_close(context, count):
     async def say():
-        say_numbered(context, count)
+        log_numbered_lines(context, count)
         context.logs.close()
 
     run(context, say())
 
 
-@when("{count:d} decisions and an error are logged in one turn of a loop")
-def step_error_in_turn(context, count):
+@when("{count:d} decisions and an error are logged in one iteration of a loop")
+def step_error_in_iteration(context, count):
     async def say():
-        say_numbered(context, count)
+        log_numbered_lines(context, count)
         context.logs.say(Part.PROCESS, f"line {count}", level="error")
-        context.lines_after_turn = lines_of(context)
+        context.lines_after_iteration = read_lines(context)
 
     run(context, say())
-    assert len(context.lines_after_turn) == count + 1, context.lines_after_turn
+    assert len(context.lines_after_iteration) == count + 1, (
+        context.lines_after_iteration
+    )
 
 
-@when("{count:d} decisions are logged in one turn of a loop")
+@when("{count:d} decisions are logged in one iteration of a loop")
 def step_burst(context, count):
     async def say():
-        say_numbered(context, count)
-        context.unwritten = count - len(lines_of(context))
+        log_numbered_lines(context, count)
+        context.unwritten = count - len(read_lines(context))
 
     run(context, say())
 
 
 @when(
-    'a decision among "{one}" and "{two}" is logged and the list emptied in that turn'
+    'a decision among "{one}" and "{two}" is logged and the list emptied before writing'
 )
 def step_emptied(context, one, two):
     async def say():
@@ -131,9 +133,9 @@
     run(context, say())
 
 
-@then("the file was empty at the end of that turn")
+@then("the file was empty at the end of that iteration")
 def step_empty(context):
-    assert context.lines_after_turn == [], context.lines_after_turn
+    assert context.lines_after_iteration == [], context.lines_after_iteration
 
 
 @then(
@@ -141,7 +143,7 @@
     "each with a task_uuid of its own"
 )
 def step_in_order(context, first, last):
-    lines = [json.loads(line) for line in lines_of(context)]
+    lines = [json.loads(line) for line in read_lines(context)]
     numbers = [int(line["message"].rpartition(" ")[2]) for line in lines]
     assert numbers == list(range(first, last + 1)), lines
     assert len({line["task_uuid"] for line in lines}) == len(lines), lines
@@ -154,11 +156,11 @@
 
 @then('the line names "{one}" and "{two}"')
 def step_names(context, one, two):
-    (line,) = lines_of(context)
+    (line,) = read_lines(context)
     assert json.loads(line)["among"] == [one, two], line
 
 
-@when("a log file is asked for in a directory that is not there")
+@when("a log file is opened in a missing directory")
 def step_no_directory(context):
     try:
         open_logs(LogSettings("info", "no-such-directory/log"), "w")
@@ -178,15 +180,15 @@
     context.statsd.bind(("127.0.0.1", 0))
     context.statsd.settimeout(5)
     add_clean_up(context, context.statsd.close)
-    make(context, context.statsd.getsockname()[1])
+    make_statsd_metrics(context, context.statsd.getsockname()[1])
 
 
-@given("metrics that go to a statsd server that is away")
+@given("metrics that go to an unavailable statsd server")
 def step_statsd_away(context):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound:
         bound.bind(("127.0.0.1", 0))
         port = bound.getsockname()[1]
-    make(context, port)
+    make_statsd_metrics(context, port)
 
 
 @given("metrics without settings")
@@ -194,7 +196,7 @@
     context.metrics = make_metrics(None)
 
 
-def make(context, port):
+def make_statsd_metrics(context, port):
     context.metrics = make_metrics(StatsdSettings("127.0.0.1", port, "glenmorrow"))
     add_clean_up(context, context.metrics.close)
 
@@ -211,7 +213,7 @@
     context.sent = timings + 2
 
 
-@when("a start is counted in a loop that runs for a while")
+@when("a start is counted in a loop that keeps running")
 def step_count_in_loop(context):
     async def count():
         context.metrics.count("agent.starts")
@@ -232,7 +234,7 @@
     assert len(lines) == context.sent, lines
 
 
-@then("nothing is raised, then or with the next ones")
+@then("no exception is raised, nor by further metrics")
 def step_again(context):
     step_count(context, 1, 1)
     context.metrics.close()
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -54,7 +54,7 @@
     load(context, context.loader, context.path)
 
 
-@when("settings are loaded from a file that is not there")
+@when("settings are loaded from a missing file")
 def step_missing(context):
     load(context, load_entry, EXAMPLES / "no-such-file.ini")
 
@@ -86,7 +86,7 @@
     assert secret not in context.settings_error.show()
 
 
-@when("Hypothesis writes settings of both kinds")
+@when("Hypothesis generates settings of both kinds")
 def step_fuzz(context):
     sections = ["process", "http", "key_value", "limits", "callers", "operators_http"]
     sections += ["curve", "cell", "labels", "retention", "operators", "peers"]
