--- a/features/steps/decision_refusals_steps.py
+++ b/features/steps/decision_refusals_steps.py
@@ -77,7 +77,7 @@
 
 
 @given("a scheduler whose queue is full for deadlines of {seconds:g} seconds")
-def step_full(context, seconds):
+def step_full_queue(context, seconds):
     context.now = 0.0
     context.scheduler = Scheduler()
     context.scheduler.set_worker(worker("w0"), True, 0.0)
@@ -117,7 +117,7 @@
 
 
 @when('a queued job of {count:d} accelerator loses "{name}" and its deadline comes')
-def step_lose(context, count, name):
+def step_worker_lost(context, count, name):
     for _ in range(SLOTS + 1):
         last = offer(context, deadline=5.0, accelerators=count and 1)
         context.scheduler.assign(0.0)
@@ -128,19 +128,19 @@
 
 @then('the scheduler sheds it as "{code}"')
 def step_shed(context, code):
-    sheds = [entry for entry in context.decided if isinstance(entry, Shed)]
-    shed = {entry.task.job.submission: entry.refusal for entry in sheds}
+    sheds = [decision for decision in context.decided if isinstance(decision, Shed)]
+    shed = {decision.task.job.submission: decision.refusal for decision in sheds}
     assert shed[context.last].code == code, shed
 
 
-@given('a scheduler where team "{team}" may run {most:d} tasks at a time')
-def step_quota(context, team, most):
+@given('a scheduler where team "{team}" may run {limit:d} tasks at a time')
+def step_quota(context, team, limit):
     context.now = 0.0
     context.scheduler = Scheduler()
     for number in range(2):
         context.scheduler.set_worker(worker(f"w{number}"), True, 0.0)
-    context.scheduler.set_quota("booking", team, maximum_running=most)
-    context.most = most
+    context.scheduler.set_quota("booking", team, maximum_running=limit)
+    context.limit = limit
 
 
 @when('team "{team}" offers {count:d} jobs with {seconds:g} seconds left')
@@ -153,14 +153,14 @@
     context.started = context.scheduler.assign(0.0)
 
 
-@then('{most:d} tasks of team "{team}" run and further jobs are refused as "{code}"')
-def step_quota_holds(context, most, team, code):
-    assert len(context.started) == most, context.started
+@then('{limit:d} tasks of team "{team}" run and further jobs are refused as "{code}"')
+def step_quota_holds(context, limit, team, code):
+    assert len(context.started) == limit, context.started
     assert set(context.codes) == {None, code}, context.codes
 
 
 @then('each finished task of team "{team}" lets the next one start')
-def step_next(context, team):
+def step_next_starts(context, team):
     queued = sum(context.scheduler.count_queued().values())
     assert queued
     for _ in range(queued):
--- a/features/steps/decision_scheduler_steps.py
+++ b/features/steps/decision_scheduler_steps.py
@@ -113,7 +113,7 @@
             assert len(held) <= worker.slots
             assert worker.memory_mb >= 0
 
-    def settle(self):
+    def finish_all(self):
         for _ in range(2000):
             self.now += 0.3
             self.assign()
@@ -139,7 +139,7 @@
         sequence = EventSequence(seed)
         for _ in range(steps):
             sequence.step()
-        sequence.settle()
+        sequence.finish_all()
 
     check()
 
@@ -205,7 +205,7 @@
 @then('the scheduler explains that "{name}" takes nothing because "{reason}"')
 def step_explained(context, name, reason):
     explained = context.scheduler.explain(make_job("x"), 0.0)
-    verdicts = {entry.worker: entry.verdict for entry in explained}
+    verdicts = {explanation.worker: explanation.verdict for explanation in explained}
     assert reason in verdicts[name], verdicts
 
 
--- a/features/steps/decision_second_attempts_steps.py
+++ b/features/steps/decision_second_attempts_steps.py
@@ -22,10 +22,10 @@
 
 
 def finish(context, started, succeeded=True):
-    for entry in started:
-        name = (entry.task.job.submission, entry.task.index)
+    for assignment in started:
+        name = (assignment.task.job.submission, assignment.task.index)
         context.scheduler.record_result(
-            *name, entry.worker, succeeded, 100, context.now
+            *name, assignment.worker, succeeded, 100, context.now
         )
 
 
@@ -136,7 +136,7 @@
 @when("{count:d} requests in turn fail on all workers")
 def step_all_fail(context, count):
     for _ in range(count // 10):
-        started = [entry for _ in range(10) for entry in submit(context)]
+        started = [assignment for _ in range(10) for assignment in submit(context)]
         context.now += 0.1
         finish(context, started, succeeded=False)
 
@@ -168,11 +168,11 @@
     generator = random.Random(1)
     context.ejected = set()
     for _ in range(count // 20):
-        started = [entry for _ in range(20) for entry in submit(context)]
+        started = [assignment for _ in range(20) for assignment in submit(context)]
         context.now += 0.1
-        for entry in started:
-            fails = entry.worker == name or generator.random() < 1 / 3
-            finish(context, [entry], succeeded=not fails)
+        for assignment in started:
+            fails = assignment.worker == name or generator.random() < 1 / 3
+            finish(context, [assignment], succeeded=not fails)
         context.ejected |= set(ejected(context))
 
 
--- a/features/steps/decision_sizes_steps.py
+++ b/features/steps/decision_sizes_steps.py
@@ -38,13 +38,13 @@
         while self.running and self.running[0][0] <= self.now:
             _, _, name, worker = heapq.heappop(self.running)
             self.scheduler.record_result(name, 0, worker, True, 300, self.now)
-        for entry in self.scheduler.assign(self.now):
-            name = entry.task.job.submission
+        for assignment in self.scheduler.assign(self.now):
+            name = assignment.task.job.submission
             self.started[name] = self.now
             # Staggered ends free the memory in small pieces.
             ends = self.now + RUN_SECONDS + 0.01 * (len(self.started) % 7)
             serial = len(self.started)
-            heapq.heappush(self.running, (ends, serial, name, entry.worker))
+            heapq.heappush(self.running, (ends, serial, name, assignment.worker))
 
     def keep_queued(self, memory_mb, seconds):
         until = self.now + seconds
--- a/src/cactuswalk/decisions/callbudget.py
+++ b/src/cactuswalk/decisions/callbudget.py
@@ -2,9 +2,9 @@
 
 Load pattern: a fault anywhere (a flapping upstream, a race for a key, a retry loop that
 never ends) causes calls on many hosts at the same time, and overloads the one service
-that all depend on. Without a limit the faultiest processes use up the rate of the
-service, which grows more slowly than the fleet. A token bucket holds each process to
-its share.
+that all depend on. The rate of that service grows more slowly than the fleet, and
+without a limit the processes with the most faults use it up. A token bucket holds each
+process to its share.
 """
 
 import msgspec
--- a/src/cactuswalk/decisions/fitting.py
+++ b/src/cactuswalk/decisions/fitting.py
@@ -50,7 +50,11 @@
     def recent(self, now: float) -> list[Announcement]:
         """Return the workers that left within DEPARTED_TTL_SECONDS."""
         oldest = now - DEPARTED_TTL_SECONDS
-        return [entry for entry, left in self.workers.values() if left >= oldest]
+        return [
+            announcement
+            for announcement, left in self.workers.values()
+            if left >= oldest
+        ]
 
 
 def misfit_reason(announcement: Announcement, job: Job, spec: TaskSpec) -> str:
@@ -91,19 +95,26 @@
         # Entries validate selectors. An entry of another release may accept a selector
         # that this release can't parse, and the owner must not fail over it.
         return Refusal(RefusalCode.NEVER_FITS, error.message)
-    here = [entry for entry in present if entry.service == job.service]
-    departed_here = [entry for entry in departed if entry.service == job.service]
+    here = [
+        announcement for announcement in present if announcement.service == job.service
+    ]
+    departed_here = [
+        announcement for announcement in departed if announcement.service == job.service
+    ]
     if not here:
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
             f"no worker of {job.service} is available now",
             RETRY_AFTER_MS,
         )
-    ready = [entry for entry in here if entry.ready]
-    if any(not misfit_reason(entry, job, largest_needs(job.tasks)) for entry in ready):
+    ready = [announcement for announcement in here if announcement.ready]
+    if any(
+        not misfit_reason(announcement, job, largest_needs(job.tasks))
+        for announcement in ready
+    ):
         return None
     for spec in distinct_sizes(job.tasks):
-        if any(not misfit_reason(entry, job, spec) for entry in ready):
+        if any(not misfit_reason(announcement, job, spec) for announcement in ready):
             continue
         return misfit_refusal(job, spec, here, departed_here)
     return None
@@ -122,7 +133,10 @@
     departed_here: list[Announcement],
 ) -> Refusal:
     """Return the refusal of a job with a task that no ready worker can run."""
-    if any(not misfit_reason(entry, job, spec) for entry in here + departed_here):
+    if any(
+        not misfit_reason(announcement, job, spec)
+        for announcement in here + departed_here
+    ):
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
             f"the workers of {job.service} that could run it are unavailable",
--- a/src/cactuswalk/decisions/longtasks.py
+++ b/src/cactuswalk/decisions/longtasks.py
@@ -11,8 +11,8 @@
 
 __all__ = ["is_long", "update_short_average", "slots_for_long"]
 
-# A task is long if it takes this many times the mean of its service: "a few last
-# several seconds" against a mean near 0.3 s.
+# A task is long if it takes this many times the mean of its service: by the
+# requirements a few tasks take several seconds, against a mean near 0.3 s.
 MIN_LONG_RATIO = 4.0
 
 # Long tasks leave free the average number of slots that short tasks use plus a quarter
--- a/src/cactuswalk/decisions/scheduler.py
+++ b/src/cactuswalk/decisions/scheduler.py
@@ -72,7 +72,9 @@
     def has_departed_recently(self, announcement: Announcement, now: float) -> bool:
         """Return whether a worker has recently left this cell."""
         name = announcement.worker
-        return any(entry.worker == name for entry in self.cell.departed.recent(now))
+        return any(
+            departed.worker == name for departed in self.cell.departed.recent(now)
+        )
 
     def _suppress_flapping(self, worker: Worker, now: float) -> None:
         """Suppress a worker that repeatedly dies.
