--- a/features/dispatch_load.feature
+++ b/features/dispatch_load.feature
@@ -1,46 +1,46 @@
-Feature: Whom the entries serve when there is not room for all
+Feature: Which jobs the entries serve when capacity is short
 
-  Scenario: A calm hour is served whole
+  Scenario: The usual load is served in full
     Given 4 entries, 11 workers of three speeds, and the users' three kinds of job
     When 8 seconds of the usual load are played
     Then at least 99 of 100 lookups, checks and rebuilds are on time
 
   Scenario: A burst is served without starving the wide lookups
-    For some seconds 1.6 times the usual load comes, about as much as the workers
-    can do. Short lookups of eight tasks have a seventh of a second to spare; behind
-    long rebuilds, or with one of their tasks lost in a race for room, they are late.
-    The operators' first priority is theirs: they may not be the worst served.
+    At 1.6 times the usual load the workers are fully used. Lookups of eight tasks have
+    a seventh of a second of slack: queued behind long rebuilds, or with one task
+    declined by a full worker, they are late. They have the highest priority and may
+    not be served worst.
     When 8 seconds of 1.6 times the load are played, with each of 8 seeds
     Then at least 85 of 100 lookups, 81 of 100 checks and 87 of 100 rebuilds are on time
 
-  Scenario: Twice the load is refused in time, and the rest is served
+  Scenario: At twice the load, excess jobs are refused early and the rest is served
     When 8 seconds of 2.0 times the load are played, with each of 8 seeds
     Then at least 85 of 100 lookups, 68 of 100 checks and 60 of 100 rebuilds are on time
     And a refusal takes no longer than the time that the job could spare
     And no refused job has run
 
-  Scenario: Where no urgent job comes, nothing is kept free for one
-    Room that is kept for nobody would be refused to callers who are there.
+  Scenario: Without urgent jobs no capacity is reserved for them
+    Otherwise callers would be refused while reserved capacity is idle.
     Given 4 entries, 11 workers of three speeds, and the users' three kinds of job
     When checks alone fill the workers for 4 seconds
     Then at least 97 of 100 parts of the workers are in use most of the time
 
-  Scenario: A task that fills a worker alone has its place while urgent jobs come
-    With a part of each worker kept free it would fit none, and be refused each time
-    though workers stand empty.
+  Scenario: A task that needs a whole worker is placed while urgent jobs arrive
+    Beside the reserved share it would fit no worker, and would be refused though
+    workers are empty.
     Given 4 entries, 11 workers of three speeds, and the users' three kinds of job
     When lookups come and a check needs 31 cores of a worker of 32
     Then the check is completed
 
-  Scenario: A worker that turns slow does not hold up every wide job
-    One worker of eleven turns six times slower while it says that it is well. Its
-    room is free for longest, and each wide job would have a task there.
+  Scenario: A worker that becomes slow does not delay every wide job
+    One worker of eleven becomes six times slower and still reports that it is healthy.
+    If it were chosen by free capacity alone, each wide job would have a task there.
     Given 4 entries, 11 workers of three speeds, and the users' three kinds of job
     When one worker is 6 times slower while 8 seconds of the usual load are played
     Then at least 90 of 100 lookups, 96 of 100 checks and 92 of 100 rebuilds are on time
 
-  Scenario: A worker that fails everything gets hardly any work
-    Its failures take a millisecond, so that its room is always free.
+  Scenario: A worker that fails every task gets hardly any work
+    Its tasks fail within a millisecond, so it always has free capacity.
     Given a fleet of 2 entries and 4 workers
     When a0's worker fails everything
     And 100 jobs of 2 tasks of 0.2 seconds come to e0
@@ -48,14 +48,14 @@
     Then a0 has started fewer than 40 tasks
     And no job has failed
 
-  Scenario: A task that stands still is run elsewhere
+  Scenario: A stalled task is run elsewhere
     Given a fleet of 1 entries and 2 workers
-    When a0's worker lets everything stand still
+    When a0's worker stalls every task
     And a job of 4 tasks of 0.5 seconds comes to e0
     And the fleet runs on for 6 seconds
     Then the job is completed at e0
 
-  Scenario: A worker that drains gets nothing new
+  Scenario: A draining worker gets no new tasks
     Given a fleet of 1 entries and 2 workers
     When a0's worker drains
     And the fleet runs on for 2 seconds
@@ -64,14 +64,14 @@
     Then a0 has started fewer than 1 tasks
     And all jobs are completed
 
-  Scenario: A caller who leaves has its tasks stopped
+  Scenario: The tasks of a caller that disconnects are stopped
     Given a fleet of 1 entries and 2 workers
     When a job of 4 tasks of 3 seconds comes to e0
-    And its caller leaves after 0.3 seconds
+    And its caller disconnects after 0.3 seconds
     And the fleet runs on for 0.3 seconds
-    Then nothing runs any more
+    Then no task is running
 
   Scenario: A task that fits no worker is refused at once
     Given a fleet of 1 entries and 2 workers
     When a job with a task of 64 cores comes to e0
-    Then it is refused as not run before any time has passed
+    Then it is refused as not run without delay
--- a/features/dispatch_once.feature
+++ b/features/dispatch_once.feature
@@ -1,9 +1,9 @@
-Feature: No task runs twice at once, whatever ends
+Feature: No task runs twice at once, whichever process fails
 
-  Scenario: An entry is killed and its caller comes back at another one
-    The process that answers for a job dies while the job's tasks run. Its caller's
-    connection breaks, and 1.3 s later the caller sends the job again elsewhere. If
-    the first try still ran, two buses would be sent.
+  Scenario: An entry is killed and its caller retries at another one
+    The caller's connection breaks while the job's tasks run, and 1.3 s later it submits
+    the job again elsewhere. If the first runs had not ended by then, the tasks would
+    run twice at once.
     Given a fleet of 2 entries and 4 workers
     When a job of 4 tasks of 3 seconds comes to e0
     And e0 is killed after 0.5 seconds
@@ -12,8 +12,8 @@
     And the job is completed at e1
 
   Scenario: An entry is killed together with an agent that runs its tasks
-    Nobody is left who could stop the tasks; the worker's own lease has to end them
-    before the caller is back.
+    No process is left that could stop the tasks. The lease at the worker has to end
+    them before the caller retries.
     Given a fleet of 2 entries and 1 workers
     When a job of 4 tasks of 3 seconds comes to e0
     And e0 and a0 are killed after 0.5 seconds
@@ -22,10 +22,9 @@
     Then no task has run twice at once
     And the job is completed at e1
 
-  Scenario: An entry freezes with tasks running, and wakes
-    The host of an entry stands still for 3 s. Its agents stop what it can't answer
-    for; when it wakes it learns that, and runs the tasks again for the caller who
-    has waited all the while.
+  Scenario: An entry freezes while tasks run, and resumes
+    The host of an entry is paused for 3 s. Its agents stop its tasks; when it resumes
+    it learns that, and runs the tasks again for the caller, who is still waiting.
     Given a fleet of 2 entries and 4 workers
     When a job of 4 tasks of 1 seconds comes to e0
     And e0 freezes for 3 seconds after 0.2 seconds
@@ -34,10 +33,10 @@
     And the job is completed at e0
     And every task was started twice
 
-  Scenario: An agent's words are lost while it hears everything
-    The link from an agent to an entry is cut one way. The entry hears nothing of
-    its tasks and has to run them elsewhere; the agent, which still hears pulses,
-    must have stopped them by then.
+  Scenario: An agent's messages are lost while it receives everything
+    The link from an agent to an entry is cut one way. The entry hears nothing of its
+    tasks and runs them elsewhere. The agent, which still receives keepalives, must have
+    stopped them by then.
     Given a fleet of 1 entries and 2 workers
     When a job of 4 tasks of 2 seconds comes to e0
     And the link from a0 to e0 is cut after 0.3 seconds
@@ -45,7 +44,7 @@
     Then no task has run twice at once
     And the job is completed at e0
 
-  Scenario: An entry's words are lost while it hears everything
+  Scenario: An entry's messages are lost while it receives everything
     Given a fleet of 1 entries and 2 workers
     When a job of 4 tasks of 2 seconds comes to e0
     And the link from e0 to a0 is cut after 0.3 seconds
@@ -53,7 +52,7 @@
     Then no task has run twice at once
     And the job is completed at e0
 
-  Scenario: An agent freezes, and its worker with it is given up
+  Scenario: An agent freezes, and its tasks run elsewhere
     Given a fleet of 1 entries and 2 workers
     When a job of 6 tasks of 2 seconds comes to e0
     And a0 freezes for 4 seconds after 0.3 seconds
@@ -61,8 +60,8 @@
     Then no task has run twice at once
     And the job is completed at e0
 
-  Scenario: An agent dies and comes back while its worker runs on
-    The worker still runs tasks that the new agent knows nothing of.
+  Scenario: An agent is killed and restarted while its worker keeps running
+    The worker still runs tasks that the new incarnation of the agent does not know.
     Given a fleet of 1 entries and 2 workers
     When a job of 6 tasks of 2 seconds comes to e0
     And a0 is killed after 0.5 seconds
@@ -71,17 +70,17 @@
     Then no task has run twice at once
     And the job is completed at e0
 
-  Scenario: Orders without an answer are carried out seconds later
-    A worker answers most calls not for a while and carries them out two seconds
-    later; by then the tasks have long been run elsewhere.
+  Scenario: Calls without an answer are executed seconds later
+    A worker leaves most calls unanswered and executes them two seconds later, when the
+    tasks have already been run elsewhere.
     Given a fleet of 1 entries and 3 workers
-    When a0 answers 60 of 100 calls not and carries them out 2 seconds later
+    When a0 leaves 60 of 100 calls unanswered and executes them 2 seconds later
     And 20 jobs of 2 tasks of 0.3 seconds come to e0
     And the fleet runs on for 8 seconds
     Then no task has run twice at once
     And all jobs are completed
 
-  Scenario: A worker can't be reached and runs on
+  Scenario: A worker is unreachable and keeps running
     Given a fleet of 1 entries and 2 workers
     When a job of 6 tasks of 2 seconds comes to e0
     And a0's worker is cut off after 0.3 seconds
@@ -89,25 +88,26 @@
     Then no task has run twice at once
     And the job is completed at e0
 
-  Scenario: A heartbeat of an earlier life arrives after the new life's
-    A heartbeat was held up on its way; its sender has crashed meanwhile and come
-    back under another name. Taken for a new worker, it would end all that runs.
+  Scenario: A delayed heartbeat of an earlier incarnation arrives
+    Its worker has crashed meanwhile and restarted under another identifier. If the
+    heartbeat were taken for a new worker's, all running tasks would be lost.
     Given a fleet of 1 entries and 1 workers
     When a0's worker crashes and comes back
     And a job of 4 tasks of 1 seconds comes to e0
-    And a heartbeat of the earlier life arrives after 0.3 seconds
+    And a heartbeat of the earlier incarnation arrives after 0.3 seconds
     And the fleet runs on for 5 seconds
     Then the job is completed at e0
     And every task was started once
 
-  Scenario: An entry comes back while its earlier life's tasks are being stopped
-    The agent's stops have no answer for a while, and the new life counts its starts
-    from one again. Taken for the same start, the agent lost track of both, and ended.
-    Then random day 5034 of 12 seconds keeps every promise
+  Scenario: An entry restarts while its earlier incarnation's tasks are being stopped
+    The agent's stop calls get no answer for a while, and the new incarnation numbers
+    its starts from 1 again. An agent that took two starts with the same number for one
+    lost track of both and crashed.
+    Then random day 5034 of 12 seconds keeps every guarantee
 
-  Scenario: A stopping entry takes only what it can finish
-    Estimates are off by 40%. A job that is taken by its expected run time alone may
-    have to be given up, after it has run for seconds, when the process must end.
+  Scenario: A stopping entry accepts only jobs that it can finish
+    Estimates are off by 40%. A job accepted by its expected run time alone may have to
+    be given up, after it has run for seconds, when the process ends.
     Given a fleet of 1 entries and 2 workers
     When e0 is told to stop and 3 seconds pass
     And a job of 2 tasks of 2 seconds comes to e0
@@ -116,15 +116,15 @@
     And the fleet runs on for 2 seconds
     Then the job is completed at e0
 
-  Scenario: The bounds end the first try before the second may begin
-    Then tasks of a dead entry have ended before its callers come back
-    And an entry waits longer for a silent agent than the agent holds on
+  Scenario: The bounds end the first runs before the second ones can begin
+    Then tasks of a dead entry have ended before its callers retry
+    And an entry waits longer for a silent agent than the agent keeps its tasks
 
   Scenario Outline: Random days
-    Everything that can fail fails by turns, in series and together, while jobs
-    come all the time. Each caller who stays gets one answer, no refusal of a job
-    that has run says that it has not, and no two runs of a task overlap.
-    Then random days <first> to <last> keep every promise
+    Every kind of fault occurs, alone and combined, while jobs keep arriving. Each
+    caller that stays connected gets one answer, no job that has run is refused as not
+    run, and no two runs of a task overlap.
+    Then random days <first> to <last> keep every guarantee
 
     Examples:
       | first | last |
--- a/features/dispatch_recovery.feature
+++ b/features/dispatch_recovery.feature
@@ -1,9 +1,9 @@
-Feature: After a failure, tasks run again as soon as that is safe
+Feature: After a failure, tasks run again as soon as it is safe
 
-  Scenario: A host is powered off and comes back half a second later
-    Its worker comes back under another name, so everything that ran there is known
-    to have ended. To wait for the leases of the agent's first life would cost each
-    caller another half a second, and make short tasks late.
+  Scenario: A host is powered off and is up again half a second later
+    Its worker restarts under another identifier, so all earlier runs there have ended.
+    Waiting for the leases of the agent's first incarnation would take another half
+    a second and make short tasks late.
     Given a fleet of 1 entries and 2 workers
     When a job of 20 tasks of 0.5 seconds comes to e0
     And the host of a0 is powered off after 0.2 seconds
@@ -12,10 +12,10 @@
     Then no task has run twice at once
     And e0 completes the job within 1.4 seconds
 
-  Scenario: An agent that comes back stops what its earlier life ran
-    The worker has run on. The new life looks at it and stops what it finds before it
-    says that it is open; from there on nothing of the earlier life can run. The worker
-    is heard 0.5 s after the kill.
+  Scenario: A restarted agent stops the runs of its earlier incarnation
+    The worker has kept running. The new incarnation polls it and stops the runs it
+    finds before it reports that it is open; from then on nothing of the earlier
+    incarnation can run. The worker is heard 0.5 s after the kill.
     Given a fleet of 1 entries and 2 workers
     When a job of 20 tasks of 0.5 seconds comes to e0
     And a0 is killed after 0.05 seconds
@@ -24,9 +24,9 @@
     Then no task has run twice at once
     And e0 completes the job within 1.2 seconds
 
-  Scenario: An agent that comes back late doesn't lengthen the wait
-    The leases of its first life end 1.1 s after it was heard last, whenever the
-    next one comes.
+  Scenario: An agent that restarts late does not prolong the wait
+    The leases of its first incarnation end 1.1 s after it was last heard, whenever the
+    next incarnation starts.
     Given a fleet of 1 entries and 2 workers
     When a job of 20 tasks of 0.5 seconds comes to e0
     And a0 is killed after 0.2 seconds
@@ -36,33 +36,33 @@
     Then no task has run twice at once
     And e0 completes the job within 2.1 seconds
 
-  Scenario: A report of an agent's earlier life arrives after its new life was met
-    It was held up on its way. Taken for news, it would have the tasks of the present
-    life run elsewhere while they still run there.
+  Scenario: A delayed report of an agent's earlier incarnation arrives
+    If it were taken for current, the tasks of the current incarnation would be run
+    elsewhere while they still run there.
     Given a fleet of 1 entries and 2 workers
     When the host of a0 is powered off after 0.1 seconds
     And the host of a0 comes back 0.2 seconds later
     And the fleet runs on for 2 seconds
     And a job of 20 tasks of 1 seconds comes to e0
-    And an open report of a0's earlier life arrives after 0.3 seconds
+    And an open report of a0's earlier incarnation arrives after 0.3 seconds
     And the fleet runs on for 4 seconds
     Then no task has run twice at once
     And every task was started once
 
-  Scenario: A task that tries a slow worker is given back if it is still slow
-    A worker that has turned ten times slower gets one task of each entry at a time,
-    by which it is seen to have recovered. Kept to the end, each such try would cost
-    a caller the answer: on a day with two such workers twenty of them.
+  Scenario: A probe task is returned by a worker that is still slow
+    A worker that became ten times slower gets one probe task per entry at a time, to
+    detect its recovery. If it kept these tasks to their end, each would make a job too
+    late: twenty jobs in a day with two such workers.
     Given a fleet of 1 entries and 2 workers
-    When a0's worker has been seen to drag, ten times slower
+    When a0's worker has been detected as ten times slower
     And a job of 11 tasks of 0.3 seconds comes to e0
     And the fleet runs on for 5 seconds
     Then no task has run twice at once
     And e0 completes the job within 1 seconds
 
   Scenario: An entry is up before its agents after a power cut
-    A check of 0.6 s has 0.4 s to spare. Refused by the limit that holds for a full fleet, it
-    would be turned away while all workers are about to be met, empty.
+    A check of 0.6 s has 0.4 s of slack. By the queueing limit of a full fleet it would
+    be refused just before the entry discovers the workers, which are all empty.
     Given a fleet of 1 entries and 2 workers
     When all processes are killed, and e0 is started again
     And a job of 4 tasks of 0.6 seconds comes to e0
@@ -70,35 +70,35 @@
     And the fleet runs on for 3 seconds
     Then e0 completes the job within 1.02 seconds
 
-  Scenario: An entry that meets no agent refuses what can't be on time any more
+  Scenario: An entry that discovers no agent refuses jobs that can't be on time
     Given a fleet of 1 entries and 2 workers
     When all processes are killed, and e0 is started again
     And a job of 4 tasks of 0.4 seconds comes to e0
     And the fleet runs on for 0.35 seconds
     Then the job is refused as not run at e0
 
-  Scenario: An agent that is to stop doesn't wait for an entry that is gone
-    What ended there last is never noted. The agent would stay until it is killed, and
+  Scenario: A stopping agent does not wait for an entry that has gone
+    Its last ends are never acknowledged. The agent would wait until it is killed, and
     its worker with it.
     Given a fleet of 2 entries and 2 workers
     When a job of 20 tasks of 0.2 seconds comes to e0
     And e0 is killed after 0.1 seconds
     And the fleet runs on for 1.5 seconds
-    Then a0 and a1 could end, if they were told to stop
+    Then a0 and a1 would be idle if they were told to stop
 
-  Scenario: A start that was declined often can still be given back
-    Declined starts never ran; only what was given back before is kept.
+  Scenario: A task that was declined often can still be returned
+    Declined starts never ran. Only tasks that were returned before are not returnable.
     Given a fleet of 1 entries and 2 workers
-    When a0's worker has been seen to drag, ten times slower
+    When a0's worker has been detected as ten times slower
     And a job of 11 tasks of 0.3 seconds, each declined 5 times, comes to e0
     And the fleet runs on for 5 seconds
     Then e0 completes the job within 1 seconds
 
-  Scenario: A worker turns slow while it runs long tasks
-    What they had done by then hides it: by the whole of their run time they look well
-    for seconds. A caller of a task of a third of a second waited 3.5 s on such a day.
+  Scenario: A worker becomes slow while it runs long tasks
+    Measured over their whole run time, the tasks still look healthy for seconds, since
+    most of it was fast. The caller of a task of a third of a second waited 3.5 s.
     Given a fleet of 1 entries and 2 workers
     When both workers are busy with tasks of 2.5 seconds, of five jobs
     And a0's worker turns 8 times slower after 1 seconds
     And the fleet runs on for 1.2 seconds
-    Then a0 has noticed that its worker drags
+    Then a0 has detected that its worker is slow
--- a/features/steps/dispatch_explaining_steps.py
+++ b/features/steps/dispatch_explaining_steps.py
@@ -1,4 +1,4 @@
-"""Steps on logs, and on the commands that read them."""
+"""Steps on logs and on the commands that read logs and settings."""
 
 import os
 import tempfile
@@ -24,7 +24,7 @@
     return CliRunner().invoke(operator_group, ["trace", job, *options])
 
 
-@then("cactuswalk trace tells of the lost runs and of the answer, in order")
+@then("cactuswalk trace prints the lost runs and the answer in order")
 def step_trace(context):
     time.sleep(0.3)
     result = run_trace(context, SAME_JOB)
@@ -43,14 +43,14 @@
     assert [line[:12] for line in lines] == sorted(line[:12] for line in lines)
 
 
-@then("cactuswalk trace finds nothing of a job that never came")
+@then("cactuswalk trace finds no line of an unknown job")
 def step_trace_nothing(context):
     result = run_trace(context, "ffffffffffffffff")
     assert result.exit_code == 3, result.output
     assert "Remedy" in result.output
 
 
-@given("a log that goes into a pipe that nobody reads")
+@given("a log that is written into a pipe without a reader")
 def step_pipe(context):
     context.reading, writing = os.pipe()
     settings = LogSettings("info", f"/dev/fd/{writing}")
@@ -71,7 +71,7 @@
         say(context, "a line")
 
 
-@then("no write has waited")
+@then("no write has blocked")
 def step_no_wait(context):
     assert context.longest < 0.5, context.longest
     assert context.log.dropped_lines > 0
@@ -84,7 +84,7 @@
     say(context, "one more line")
 
 
-@then("the log says how many lines were left out")
+@then("the log says how many lines were dropped")
 def step_left_out(context):
     text = os.read(context.reading, 1 << 20).decode()
     assert "process: log lines were dropped" in text, text[-500:]
--- a/features/steps/dispatch_lines_steps.py
+++ b/features/steps/dispatch_lines_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the lines that decisions leave, against what a fixture's day has seen."""
+"""Steps that compare the log lines of a random day with what its workers did."""
 
 import collections
 from unittest import mock
@@ -23,7 +23,7 @@
 
 
 class Observed:
-    """A day, and what its workers did, whatever the logs say."""
+    """A random day, and what its workers did, recorded independently of the logs."""
 
     def __init__(self, seed):
         self.ends = []
@@ -57,10 +57,10 @@
         )
 
     def was_done_for_a_dead_entry(self, key):
-        """Return whether all runs of a task ended well, and its job came again.
+        """Return whether all runs of a task succeeded and its job was resubmitted.
 
-        The entry that would have told of the first run's end was killed before; the
-        caller hands the job in anew, at an entry that knows nothing of the first.
+        The entry that would have logged the first run's end was killed before. The
+        caller submits the job again at an entry that does not know the first run.
         """
         ends = {how for ended, how in self.ends if ended == key}
         calls = [call for call in self.day.calls if call[2] == key.job]
@@ -74,7 +74,7 @@
     context.days = [Observed(seed) for seed in range(first, last + 1)]
 
 
-@then("each refused or unfinished job has its line, with the reason")
+@then("each refused or unfinished job has a log line with the reason")
 def step_answers(context):
     found = 0
     for observed in context.days:
@@ -92,7 +92,7 @@
     assert found > 20, found
 
 
-@then("each refusal for want of room tells what room was known, and how old that was")
+@then("each refusal for lack of capacity logs the known capacity and its age")
 def step_room(context):
     refused = [
         fields
@@ -105,7 +105,7 @@
     assert all(names <= fields.keys() for fields in refused)
 
 
-@then("each run that did not end well has its line")
+@then("each run that did not succeed has a log line")
 def step_ends(context):
     found = 0
     for observed in context.days:
@@ -118,7 +118,7 @@
     assert found > 50, found
 
 
-@then("each further run of a task has its line")
+@then("each further run of a task has a log line")
 def step_further(context):
     found = 0
     for observed in context.days:
@@ -131,7 +131,7 @@
     assert found > 50, found
 
 
-@then("each life of a worker that ran tasks has its line")
+@then("each incarnation of a worker that ran tasks has a log line")
 def step_lives(context):
     for observed in context.days:
         met = {
@@ -142,7 +142,7 @@
         assert observed.lives <= met, observed.lives - met
 
 
-@then("each entry has its line about the new configuration")
+@then("each entry has a log line about the new configuration")
 def step_configuration(context):
     for observed in context.days:
         told = {
--- a/features/steps/dispatch_load_steps.py
+++ b/features/steps/dispatch_load_steps.py
@@ -1,4 +1,4 @@
-"""Steps on load and on workers that are unsound."""
+"""Steps on load and on unhealthy workers."""
 
 import statistics
 
@@ -6,7 +6,7 @@
 
 from features.support.fleetload import SEED, Load, users_fleet
 
-# One seed's shares lie some 0.03 about the mean.
+# The shares of a single seed vary by about 0.03 around the mean.
 SEEDS = range(3, 11)
 
 
@@ -90,7 +90,7 @@
     context.fleet.workers[agent].fails = True
 
 
-@when("{agent:w}'s worker lets everything stand still")
+@when("{agent:w}'s worker stalls every task")
 def step_stalls(context, agent):
     context.fleet.workers[agent].stalls = True
 
@@ -100,7 +100,7 @@
     context.fleet.workers[agent].draining = True
 
 
-@when("its caller leaves after {after:g} seconds")
+@when("its caller disconnects after {after:g} seconds")
 def step_leaves(context, after):
     context.fleet.run(after)
     assert context.fleet.live_runs
@@ -170,12 +170,12 @@
     assert "failed" not in verdicts, verdicts
 
 
-@then("nothing runs any more")
+@then("no task is running")
 def step_nothing_runs(context):
     assert not context.fleet.live_runs
 
 
-@then("it is refused as not run before any time has passed")
+@then("it is refused as not run without delay")
 def step_refused_at_once(context):
     assert context.fleet.verdict(context.waiter) == "not_run"
     assert context.fleet.took(context.waiter) == 0.0
--- a/features/steps/dispatch_membership_steps.py
+++ b/features/steps/dispatch_membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on who works with whom in a fleet of several entries a data centre."""
+"""Steps on which agents and entries work together in fleets of several data centres."""
 
 from collections import Counter
 from unittest import mock
@@ -24,7 +24,7 @@
     context.sent_before = Counter()
 
 
-@given("no entry asks others for room")
+@given("no entry requests capacity from others")
 def step_no_search(context):
     patch = mock.patch.object(
         entryoverflow, "choose_entries_to_ask", lambda *arguments: []
@@ -33,7 +33,7 @@
     context.clean_ups = [patch.stop]
 
 
-@given("the store lists nobody")
+@given("the store lists no entries")
 def step_no_list(context):
     context.fleet.listed_names = []
 
@@ -109,7 +109,7 @@
         worker.up = True
 
 
-@when("{entry:w} has taken the data centre of {agent:w} for {centre:w}")
+@when("{entry:w} has assumed that {agent:w} is in data centre {centre:w}")
 def step_mistaken(context, entry, agent, centre):
     fleet = context.fleet
     state = fleet.states[entry]
@@ -123,7 +123,7 @@
         fleet.run(0.01)
         if fleet.states[agent].entries[entry].members != told:
             return
-    raise AssertionError("no other list was told")
+    raise AssertionError("no other list was sent")
 
 
 @then("{entry:w} has told {agent:w} of the entries of data centre {centre:w}")
@@ -163,7 +163,7 @@
 
 
 def known_by(fleet):
-    """Return, by agent, how many living entries hear it."""
+    """Return the number of living entries that hear each agent, by agent."""
     return Counter(
         address for name in fleet.living() for address in fleet.states[name].views
     )
@@ -221,7 +221,7 @@
     assert all(centres[name] > 0 for name in fleet.centre_names()), centres
 
 
-@then("an entry asks for room at most {count:d} times a second")
+@then("an entry requests capacity at most {count:d} times a second")
 def step_asks(context, count):
     for name in context.fleet.entry_names:
         key = (name, "RoomAsk")
@@ -229,7 +229,7 @@
         assert asked / context.seconds <= count, (name, asked)
 
 
-@then("nobody knows {entry:w} any more")
+@then("no process knows {entry:w}")
 def step_forgotten(context, entry):
     fleet = context.fleet
     for name, state in fleet.states.items():
@@ -239,7 +239,7 @@
 
 @then(
     "random days {first:d} to {last:d} of {entries:d} entries in {centres:d}"
-    " data centres keep every promise"
+    " data centres keep every guarantee"
 )
 def step_days(context, first, last, entries, centres):
     for seed in range(first, last + 1):
--- a/features/steps/dispatch_once_steps.py
+++ b/features/steps/dispatch_once_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what must not run twice."""
+"""Steps on tasks that must not run twice at once."""
 
 from behave import given, then, when
 
@@ -79,7 +79,7 @@
 
 
 @when(
-    "{agent:w} answers {part:d} of 100 calls not and carries them out"
+    "{agent:w} leaves {part:d} of 100 calls unanswered and executes them"
     " {late:g} seconds later"
 )
 def step_late(context, agent, part, late):
@@ -101,7 +101,7 @@
     context.fleet.run(2.0)
 
 
-@when("a heartbeat of the earlier life arrives after {after:g} seconds")
+@when("a heartbeat of the earlier incarnation arrives after {after:g} seconds")
 def step_old_heartbeat(context, after):
     context.fleet.run(after)
     context.fleet.deliver("a0", Announced(context.old_heartbeat))
@@ -142,17 +142,17 @@
     assert set(counts.values()) == {wanted}, counts
 
 
-@then("tasks of a dead entry have ended before its callers come back")
+@then("tasks of a dead entry have ended before its callers retry")
 def step_orphans(context):
     assert orphan_lapse_seconds() < RESEND_SECONDS
 
 
-@then("an entry waits longer for a silent agent than the agent holds on")
+@then("an entry waits longer for a silent agent than the agent keeps its tasks")
 def step_lost_after(context):
     assert agent_lapse_seconds() > ENTRY_LEASE_SECONDS + worker_lapse_seconds()
 
 
-@then("random day {seed:d} of {seconds:d} seconds keeps every promise")
+@then("random day {seed:d} of {seconds:d} seconds keeps every guarantee")
 def step_random_day(context, seed, seconds):
     day = RandomDay(seed)
     day.play(seconds)
@@ -161,7 +161,7 @@
 
 @when("{name:w} is told to stop and {seconds:g} seconds pass")
 def step_terminate(context, name, seconds):
-    # Estimates are learnt before, so that two seconds are expected to be two.
+    # Trains the estimates, so that tasks of two seconds are expected to take two.
     for number in range(40):
         context.fleet.submit(name, f"{number + 1:016x}", seconds=2.0)
         context.fleet.run(0.4)
@@ -176,7 +176,7 @@
     assert context.fleet.verdict(context.waiters[entry]) == "not_run"
 
 
-@then("random days {first:d} to {last:d} keep every promise")
+@then("random days {first:d} to {last:d} keep every guarantee")
 def step_random(context, first, last):
     for seed in range(first, last + 1):
         day = RandomDay(seed)
--- a/features/steps/dispatch_recovery_steps.py
+++ b/features/steps/dispatch_recovery_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how soon work goes on after a failure."""
+"""Steps on how soon tasks run again after a failure."""
 
 from unittest import mock
 
@@ -24,7 +24,9 @@
     context.fleet.start_agent(agent)
 
 
-@when("an open report of {agent:w}'s earlier life arrives after {after:g} seconds")
+@when(
+    "an open report of {agent:w}'s earlier incarnation arrives after {after:g} seconds"
+)
 def step_earlier_report(context, agent, after):
     context.fleet.run(after)
     state = context.fleet.states["e0"]
@@ -33,7 +35,7 @@
     context.fleet.deliver("e0", Received(agent, report))
 
 
-@when("{agent:w}'s worker has been seen to drag, ten times slower")
+@when("{agent:w}'s worker has been detected as ten times slower")
 def step_drags(context, agent):
     fleet = context.fleet
     fleet.workers[agent].pace = 10.0
@@ -85,7 +87,7 @@
         run.slow_down(fleet.now, factor)
 
 
-@then("{agent:w} has noticed that its worker drags")
+@then("{agent:w} has detected that its worker is slow")
 def step_noticed(context, agent):
     lines = [
         effect.sentence for _, name, effect in context.fleet.lines if name == agent
@@ -93,7 +95,7 @@
     assert "the worker is slow" in lines, lines
 
 
-@then("{one:w} and {other:w} could end, if they were told to stop")
+@then("{one:w} and {other:w} would be idle if they were told to stop")
 def step_idle(context, one, other):
     fleet = context.fleet
     states = [fleet.states[name] for name in (one, other)]
@@ -109,7 +111,7 @@
     for worker in fleet.workers.values():
         worker.crash()
     fleet.run(1.0)
-    # Without its agents it hears nobody.
+    # Removes the agents, so that the entry hears of none.
     for name in fleet.workers:
         del fleet.states[name]
     fleet.start_entry(entry, "d0")
--- a/src/cactuswalk/dispatch/entry.py
+++ b/src/cactuswalk/dispatch/entry.py
@@ -77,7 +77,7 @@
 def _stop_requested(state: EntryState, _: StopRequested, now: float) -> None:
     if not state.stop_at:
         state.stop_at = now + state.grace_seconds
-        state.say("stop requested", jobs=len(state.jobs))
+        state.say("a planned stop begins", jobs=len(state.jobs))
 
 
 def _tick(state: EntryState, _: Tick, now: float) -> None:
