--- a/features/dispatch_leaving.feature
+++ b/features/dispatch_leaving.feature
@@ -1,42 +1,42 @@
-Feature: Workers that are about to leave do what they still can
+Feature: Leaving workers still run tasks that end before they leave
 
-  Scenario: Agents are rolled in series while the load is at its height
-    Each waits for the last of its tasks. Closed to all others until then, a fifth of all
-    room would stand empty, and callers would be refused.
-    Given the users' work of today at 1.4 times its height
-    When a third of the agents is rolled, one each second
-    Then the callers get at least 0.983 of what they came for
-    And no run was cut off
+  Scenario: Agents are restarted one after another under high load
+    Each agent waits for its last task to end. If it accepted no other tasks until then,
+    a fifth of all capacity would be idle, and jobs would be refused.
+    Given a wave load at 1.4 times the usual rate
+    When a third of the agents is restarted, one per second
+    Then the load earns at least 0.983 of its value
+    And no run was stopped or lost
 
-  Scenario: Without short tasks meanwhile callers are refused for it
-    Given the users' work of today at 1.4 times its height
-    And leaving workers take nothing
-    When a third of the agents is rolled, one each second
-    Then the callers get less than 0.983 of what they came for
+  Scenario: Jobs are refused if leaving workers accept no short tasks
+    Given a wave load at 1.4 times the usual rate
+    And leaving workers accept no tasks
+    When a third of the agents is restarted, one per second
+    Then the load earns less than 0.983 of its value
 
-  Scenario: Workers are taken away at short notice
-    What they can't end is lost with them. Found out only then, its job is late wherever
-    it runs again.
-    Given the users' work of today at 1.2 times its height
+  Scenario: Workers leave at short notice
+    Runs that can't finish in time are lost with their worker. If this is noticed only
+    when the worker is gone, the job is late wherever it runs again.
+    Given a wave load at 1.2 times the usual rate
     When a sixth of the workers leaves 1.7 seconds after its notice
-    Then the callers get at least 0.995 of what they came for
+    Then the load earns at least 0.995 of its value
     And at most 3 runs were lost with their workers
 
-  Scenario: Without giving back what can't end there jobs are late for it
-    Given the users' work of today at 1.2 times its height
-    And leaving workers keep what they can't end
+  Scenario: Jobs are late if runs that can't finish on a leaving worker aren't stopped
+    Given a wave load at 1.2 times the usual rate
+    And leaving workers keep runs that can't finish in time
     When a sixth of the workers leaves 1.7 seconds after its notice
-    Then the callers get less than 0.995 of what they came for
+    Then the load earns less than 0.995 of its value
 
-  Scenario: A draining worker gets nothing once its time for it has passed
-    The upstream's owners count on it: a worker that stays for long gets no new work a
-    few seconds after it said that it drains.
-    Given the users' work of today at 1.2 times its height
+  Scenario: A draining worker gets no tasks once its drain time has passed
+    The upstream's owners rely on it: a worker that drains for long gets no new tasks a
+    few seconds after it announced that it drains.
+    Given a wave load at 1.2 times the usual rate
     When a worker drains for 6 seconds
     Then it was given tasks, and none after 1.1 seconds
 
-  Scenario: An agent that starts anew beside a draining worker gives it nothing
-    How long it has been draining nobody knows.
-    Given the users' work of today at 1.2 times its height
-    When a worker drains for 6 seconds and its agent starts anew
-    Then it was given nothing after 0.2 seconds
+  Scenario: An agent that restarts next to a draining worker gives it no tasks
+    The new process doesn't know how long the worker has been draining.
+    Given a wave load at 1.2 times the usual rate
+    When a worker drains for 6 seconds and its agent restarts
+    Then it was given no task after 0.2 seconds
--- a/features/dispatch_starting.feature
+++ b/features/dispatch_starting.feature
@@ -1,14 +1,14 @@
-Feature: A process serves as soon as it can after a power cut
+Feature: A process starts quickly after a power failure
 
-  Everything stands still until the first entry and the first agents have loaded, on
-  hosts of half a core. What they don't need is not loaded, and who speaks to them
-  meanwhile is heard when they have.
+  No task runs until the first entry and the first agents have loaded, on hosts with
+  half a core. So they import only what they need, and accept connections before the
+  slow imports.
 
-  Scenario Outline: The dispatch programs load nothing of the cells' engine
-    Then the process of "<module>" loads without "<needless>"
+  Scenario Outline: The dispatch programs import no modules of the cells' engine
+    Then the process of "<module>" loads without "<unneeded>"
 
     Examples:
-      | module                            | needless                       |
+      | module                            | unneeded                       |
       | cactuswalk.runtime.dispatchagent  | cactuswalk.decisions.scheduler |
       | cactuswalk.runtime.dispatchagent  | cactuswalk.platform.store      |
       | cactuswalk.runtime.dispatchentry  | cactuswalk.decisions.scheduler |
@@ -24,9 +24,9 @@
       | cactuswalk.runtime.dispatchentry  | prometheus_client              |
       | cactuswalk.runtime.dispatchentry  | aiohttp.web_app                |
 
-  Scenario Outline: A process listens before it loads what takes long
-    Without it a worker's heartbeats find nobody, and come at ever longer pauses; and
-    the balancer comes back a second later.
+  Scenario Outline: A process listens before the slow imports
+    Otherwise a worker's heartbeats are refused and repeated at ever longer intervals,
+    and the load balancer retries only a second later.
     Then "<command>" with "<settings>" listens before aiohttp is loaded
 
     Examples:
@@ -34,6 +34,6 @@
       | dispatch_agent | examples/dispatch-agent.ini |
       | dispatch_entry | examples/dispatch-entry.ini |
 
-  Scenario: An address that is taken is named, with what to do
+  Scenario: An address in use is reported with a remedy
     Given a socket that listens
     Then another one can't listen there, and the error names the remedy
--- a/features/steps/dispatch_starting_steps.py
+++ b/features/steps/dispatch_starting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a process does before it serves."""
+"""Steps on the startup of a process."""
 
 import subprocess
 import sys
@@ -8,9 +8,9 @@
 from cactuswalk.runtime.listening import ListenError, listen
 from cactuswalk.settings.dispatch import Endpoint
 
-LOADED = "import sys, {module}; print('{needless}' in sys.modules)"
+IMPORT_SCRIPT = "import sys, {module}; print('{unneeded}' in sys.modules)"
 
-LISTENS = """
+LISTEN_SCRIPT = """
 import sys
 from cactuswalk.commands import {command}
 seen = []
@@ -28,15 +28,15 @@
     return done.stdout.strip()
 
 
-@then('the process of "{module}" loads without "{needless}"')
-def step_loads(context, module, needless):
-    assert run(LOADED.format(module=module, needless=needless)) == "False"
+@then('the process of "{module}" loads without "{unneeded}"')
+def step_loads(context, module, unneeded):
+    assert run(IMPORT_SCRIPT.format(module=module, unneeded=unneeded)) == "False"
 
 
 @then('"{command}" with "{settings}" listens before aiohttp is loaded')
 def step_listens(context, command, settings):
-    said = run(LISTENS.format(command=command, settings=settings))
-    assert said.splitlines()[-1] == "[False] True", said
+    output = run(LISTEN_SCRIPT.format(command=command, settings=settings))
+    assert output.splitlines()[-1] == "[False] True", output
 
 
 @given("a socket that listens")
--- a/features/steps/dispatch_trial_steps.py
+++ b/features/steps/dispatch_trial_steps.py
@@ -1,11 +1,11 @@
-"""Steps on workers that are not to be trusted, and on what an entry knows at first."""
+"""Steps on workers on trial, and on the first estimates of an entry."""
 
 from behave import given, then, when
 
 from cactuswalk.dispatch.agentevents import Announced
 from features.support.fleet import Fleet, queue
 
-FILLER = "00000000000000ff"
+FILLER_JOB = "00000000000000ff"
 
 
 @given(
@@ -26,7 +26,13 @@
     for name in others:
         drain(fleet, name, True)
     fleet.submit(
-        "e0", FILLER, 10, cpu=3_200, seconds=seconds, wait=10.0, queue_name="fillers"
+        "e0",
+        FILLER_JOB,
+        10,
+        cpu=3_200,
+        seconds=seconds,
+        wait=10.0,
+        queue_name="fillers",
     )
     fleet.run(0.02)
     for name in others:
--- a/features/steps/dispatch_unanswered_steps.py
+++ b/features/steps/dispatch_unanswered_steps.py
@@ -1,4 +1,4 @@
-"""Steps on calls of a worker that have no answer."""
+"""Steps on calls to a worker that have no answer."""
 
 from behave import then, when
 
@@ -12,7 +12,7 @@
     " {seconds:g} seconds comes"
 )
 def step_answers_lost(context, lost, tasks, seconds):
-    hand_in_while(context, lost, tasks, seconds, unconfirmed_share=1.0)
+    submit_with_faults(context, lost, tasks, seconds, unconfirmed_share=1.0)
 
 
 @when(
@@ -20,18 +20,18 @@
     " {tasks:d} tasks of {seconds:g} seconds comes"
 )
 def step_starts_late(context, late, lost, tasks, seconds):
-    hand_in_while(context, lost, tasks, seconds, unanswered_share=1.0, late=late)
+    submit_with_faults(context, lost, tasks, seconds, unanswered_share=1.0, late=late)
 
 
-def hand_in_while(context, lost, tasks, seconds, **faults):
-    """Hand a job in to workers with faults, and mend these after so many seconds."""
-    harm(context, faults)
+def submit_with_faults(context, lost, tasks, seconds, **faults):
+    """Submit a job to workers with faults, which end after so many seconds."""
+    set_faults(context, faults)
     step_job(context, tasks, seconds, "e0")
     context.fleet.run(lost)
-    harm(context, dict.fromkeys(faults, 0.0))
+    set_faults(context, dict.fromkeys(faults, 0.0))
 
 
-def harm(context, faults):
+def set_faults(context, faults):
     for worker in context.fleet.workers.values():
         for name, value in faults.items():
             setattr(worker, name, value)
@@ -42,7 +42,7 @@
     " {seconds:d} seconds of the usual load"
 )
 def step_calls_late(context, part, late, seconds):
-    harm(context, {"deaf": part / 100, "late": late})
+    set_faults(context, {"unanswered_share": part / 100, "late": late})
     step_usual(context, seconds)
 
 
@@ -74,7 +74,7 @@
     fleet = context.fleet
     for name, worker in fleet.workers.items():
         worker.dropped_calls, worker.late = (StartTask, StopTask), late
-        # A look was lost a moment ago as well, so that many short ones follow.
+        # A poll was lost a moment ago as well, so that many short ones follow.
         fleet.states[name].unanswered_poll_at = fleet.now
     step_job(context, tasks, seconds, "e0")
 
@@ -97,7 +97,7 @@
     context.fleet.leave("e0", context.waiters["e0"])
 
 
-@then("no worker has been given more than it holds")
+@then("no worker was overloaded")
 def step_no_overload(context):
     assert not context.fleet.overloads
     assert not context.fleet.overlaps
--- a/features/support/leavingload.py
+++ b/features/support/leavingload.py
@@ -1,23 +1,23 @@
-"""Workers that are taken away, and agents that are rolled, while callers come."""
+"""Faults under load: workers that leave, and agents that are restarted in turn."""
 
 import math
 
-__all__ = ["roll_agents", "take_workers"]
+__all__ = ["restart_agents", "remove_workers"]
 
 POLL_SECONDS = 0.05
-# Between the end of a process and its next life.
+# Between the end of a process and its restart.
 RESTART_SECONDS = 0.6
 GRACE_SECONDS = 5.3
 
 
-def roll_agents(fleet, names, at_once, gap_seconds):
-    """Have agents stopped and started again in turn."""
+def restart_agents(fleet, names, at_once, gap_seconds):
+    """Stop and restart agents, ``at_once`` of them every ``gap_seconds``."""
     for number, name in enumerate(names):
         after = number // at_once * gap_seconds
-        fleet.at(after, lambda name=name: _roll(fleet, name))
+        fleet.at(after, lambda name=name: _restart(fleet, name))
 
 
-def _roll(fleet, name):
+def _restart(fleet, name):
     fleet.terminate(name)
     state, kill_at = fleet.states[name], fleet.now + GRACE_SECONDS
 
@@ -31,8 +31,8 @@
     fleet.at(POLL_SECONDS, poll)
 
 
-def take_workers(fleet, names, notice_seconds, away_seconds):
-    """Have workers taken away at short notice, and others come in their place."""
+def remove_workers(fleet, names, notice_seconds, away_seconds):
+    """Have workers leave after a notice, and come back after ``away_seconds``."""
     for name in names:
         worker = fleet.workers[name]
         worker.draining, worker.leaves_in_ms = True, int(notice_seconds * 1000)
