--- a/features/dispatch_evacuation.feature
+++ b/features/dispatch_evacuation.feature
@@ -1,8 +1,8 @@
-Feature: An evacuated data centre gets no new tasks until it is taken back
+Feature: An evacuated data centre gets no new tasks until its evacuation ends
 
-  Scenario: What runs ends in peace, and what comes is served elsewhere
-    Tasks that an evacuation stopped would be thrown away, and started ones sent into a
-    data centre that is about to be switched off are lost with it.
+  Scenario: Running tasks finish, and new ones start in other data centres
+    The work of tasks stopped by an evacuation would be lost, and so would tasks started
+    in a data centre that is about to be switched off.
     Given a fleet of 3 entries in 3 data centres and 6 workers
     When a job of 24 tasks runs everywhere
     And data centre d0 is evacuated
@@ -10,8 +10,9 @@
     Then nothing has started in data centre d0 later than 0.5 seconds after that
     And every job is done, and no task has run twice
 
-  Scenario: An entry that the store turns away sends its tasks there
-    It doesn't know of the evacuation, and its agent would start what it is sent.
+  Scenario: Agents decline the tasks of an entry that can't reach the store
+    The entry doesn't know of the evacuation, so it sends tasks there, and its agents
+    must not start them.
     Given a fleet of 3 entries in 3 data centres and 6 workers
     When entries e1 and e2 can't reach the store
     And the links from e0 to the other entries are cut
@@ -20,30 +21,31 @@
     Then nothing has started in data centre d0 later than 0.6 seconds after that
     And every job is done, and no task has run twice
 
-  Scenario: Without the agents' refusal such an entry's tasks start there
+  Scenario: Tasks of such an entry start there if the agents don't decline them
     Given a fleet of 3 entries in 3 data centres and 6 workers
-    And agents take tasks though their data centre is evacuated
+    And agents accept tasks though their data centre is evacuated
     When entries e1 and e2 can't reach the store
     And the links from e0 to the other entries are cut
     And data centre d0 is evacuated
     And the data centres get 0.5 times what the workers can do for 3 seconds
     Then something has started in data centre d0 later than 0.6 seconds after
 
-  Scenario: An entry that was cut off comes back with what it knew before
-    Its old knowledge would open the data centre again, or close one that is taken back.
+  Scenario: An entry returns from a partition with outdated evacuations
+    If others believed it, they would use the evacuated data centre again, or treat one
+    whose evacuation has ended as evacuated.
     Given a fleet of 3 entries in 3 data centres and 6 workers
     When data centre d0 is evacuated
     And the fleet runs on for 1 seconds
     And entries e1 and e2 can't reach the store
     And e1 is cut off from all others
-    And data centre d0 is taken back
+    And the evacuation of data centre d0 ends
     And data centre d1 is evacuated
     And the fleet runs on for 2 seconds
-    And e1 is reached again
+    And e1 is connected again
     And the fleet runs on for 2 seconds
-    Then all entries and agents take d1 for evacuated
+    Then all entries and agents regard d1 alone as evacuated
 
-  Scenario: An entry that starts anew while the store is away learns from others
+  Scenario: An entry that restarts without the store learns evacuations from others
     Given a fleet of 3 entries in 3 data centres and 6 workers
     When data centre d0 is evacuated
     And the fleet runs on for 1 seconds
@@ -52,7 +54,7 @@
     And the data centres get 0.5 times what the workers can do for 3 seconds
     Then nothing has started in data centre d0 later than 0.5 seconds after that
 
-  Scenario: An agent that starts anew takes nothing from an entry that doesn't know
+  Scenario: A restarted agent starts no tasks of an entry with outdated evacuations
     Given a fleet of 3 entries in 3 data centres and 6 workers
     When entries e1 and e2 can't reach the store
     And the links from e0 to the other entries are cut
@@ -62,27 +64,27 @@
     And the data centres get 0.5 times what the workers can do for 3 seconds
     Then nothing has started in data centre d0 later than 1.6 seconds after that
 
-  Scenario: A data centre that is taken back is used at once
+  Scenario: A data centre is used as soon as its evacuation ends
     Given a fleet of 3 entries in 3 data centres and 6 workers
     When data centre d0 is evacuated
     And the fleet runs on for 3 seconds
-    And data centre d0 is taken back
+    And the evacuation of data centre d0 ends
     And the data centres get 0.9 times what the workers can do for 3 seconds
     Then at least 95 of 100 jobs are on time
 
-  Scenario: Callers are refused at once when no worker is left to them
-    A job that waits for workers which get nothing is refused when it can't be on time
-    any more: its caller has lost the time in which to do without.
+  Scenario: Jobs are refused at once when every data centre is evacuated
+    Otherwise a job would wait for workers that get no tasks, and be refused only when
+    it can't be on time any more, too late for its caller to use an alternative.
     Given a fleet of 3 entries in 3 data centres and 6 workers
-    When a job comes to e0 for which there is no room
+    When a job comes to e0 for which there is no capacity
     And every data centre is evacuated
     Then that job is refused as not run within 0.1 seconds
     When a job of 1 tasks comes to e0
     Then that job is refused as not run within 0.001 seconds
 
-  Scenario: Entries whose own data centre is evacuated find workers elsewhere at once
-    They know the workers of their own data centre alone. Found job by job, those of
-    others would each time cost what a short job has to spare.
+  Scenario: Entries of an evacuated data centre find other workers at once
+    They know only the workers of their own data centre. Searching for others job by job
+    would delay each short job until it is late.
     Given a fleet of 15 entries in 3 data centres and 12 workers
     When the fleet runs on for 6 seconds
     And data centre d0 is evacuated
@@ -91,9 +93,9 @@
     Then at least 95 of 100 jobs are on time
     And nothing has started in data centre d0 later than 0.5 seconds after that
 
-  Scenario: Callers who come at that moment wait until workers elsewhere are found
-    Nobody is left of the workers that their entry knows. Refused at once, they would
-    be told that nobody is left at all.
+  Scenario: Jobs that arrive at that moment wait until other workers are found
+    Their entry knows no usable worker yet. Refusing them at once would report wrongly
+    that there is no worker at all.
     Given a fleet of 15 entries in 3 data centres and 12 workers
     When the fleet runs on for 6 seconds
     And data centre d0 is evacuated
@@ -101,18 +103,18 @@
     And a job of 50 ms comes to e0, which can wait for 36 ms
     Then that job is done within 1 seconds
 
-  Scenario: A list that changes nothing is no news
-    Entries that read the store anew, each at another revision, would each have every
-    entry tell all others.
+  Scenario: A new revision with the same evacuations is not passed on
+    Otherwise entries that read the store again, each at another revision, would make
+    every entry send messages to all others, for each of these reads.
     Given a fleet of 15 entries in 3 data centres and 12 workers
     When the fleet runs on for 6 seconds
-    And every entry reads the store anew, each at another revision
-    Then no entry tells more than 25 others within 0.3 seconds
+    And every entry reads the store again, each at another revision
+    Then no entry sends more than 25 status messages within 0.3 seconds
 
   Scenario Outline: Random days with evacuations among all other faults
-    Entries and agents die, freeze and are cut off while data centres are evacuated and
-    taken back, by an operator whose store not every entry reaches.
-    Then random days <first> to <last> with evacuations keep every promise
+    Entries and agents are killed, frozen and partitioned while evacuations begin and
+    end in a store that not every entry can reach.
+    Then random days <first> to <last> with evacuations keep every guarantee
 
     Examples:
       | first | last |
--- a/features/dispatch_leaving.feature
+++ b/features/dispatch_leaving.feature
@@ -16,7 +16,7 @@
 
   Scenario: Workers leave at short notice
     Runs that can't finish in time are lost with their worker. If this is noticed only
-    when the worker is gone, the job is late wherever it runs again.
+    after the worker has gone, the job is late wherever it runs again.
     Given a wave load at 1.2 times the usual rate
     When a sixth of the workers leaves 1.7 seconds after its notice
     Then the load earns at least 0.995 of its value
--- a/features/dispatch_mutants.feature
+++ b/features/dispatch_mutants.feature
@@ -1,25 +1,25 @@
-Feature: Each safeguard against a second run is needed
+Feature: Each safeguard against concurrent runs of a task is needed
 
-  Scenario Outline: A safeguard less, and the random days notice
-    The same days pass with it (dispatch_once.feature).
-    When <safeguard> is taken away
-    Then a random day breaks a promise
+  Scenario Outline: Random days fail without one of the safeguards
+    The same days pass with all safeguards (dispatch_once.feature).
+    When <safeguard> is disabled
+    Then a random day violates a guarantee
 
     Examples:
-      | safeguard                                      |
-      | an entry's lease at its agents                 |
-      | waiting for a silent agent's leases            |
-      | waiting for a worker's lease                   |
-      | orphaning the tasks of an entry's earlier life |
-      | a stop before a doubtful start is given up     |
-      | stopping what an earlier life of an agent ran  |
+      | safeguard                                            |
+      | an entry's lease at its agents                       |
+      | waiting for a silent agent's leases                  |
+      | waiting for a worker's lease                         |
+      | stopping the tasks of an entry's earlier incarnation |
+      | a stop before an unconfirmed start is abandoned      |
+      | stopping the runs of an agent's earlier incarnation  |
 
-  Scenario: Without an entry's lease at its agents, a second try overlaps the first
-    The entry is killed, and its caller comes back to another one after 1.3 s. The same
-    with the lease: dispatch_once.feature, in its first scenario.
-    When an entry's lease at its agents is taken away
-    Then the second try of a job whose entry was killed overlaps the first
+  Scenario: Without an entry's lease at its agents, a second attempt overlaps the first
+    The entry is killed, and its caller sends the job to another one after 1.3 s. The
+    first scenario of dispatch_once.feature does the same with the lease.
+    When an entry's lease at its agents is disabled
+    Then the second attempt at a job whose entry was killed overlaps the first
 
-  Scenario: Without its age, a late report of an earlier life is believed
-    When the order of an agent's reports is taken away
-    Then a late report of an earlier life ends what runs
+  Scenario: Without a check of its age, a late report of an earlier incarnation is used
+    When the order of an agent's reports is disabled
+    Then a late report of an earlier incarnation ends the running tasks
--- a/features/dispatch_starting.feature
+++ b/features/dispatch_starting.feature
@@ -25,8 +25,8 @@
       | cactuswalk.runtime.dispatchentry  | aiohttp.web_app                |
 
   Scenario Outline: A process listens before the slow imports
-    Otherwise a worker's heartbeats are refused and repeated at ever longer intervals,
-    and the load balancer retries only a second later.
+    Otherwise a worker's heartbeats are refused and repeated at ever longer intervals;
+    the load balancer retries only a second later.
     Then "<command>" with "<settings>" listens before aiohttp is loaded
 
     Examples:
--- a/features/steps/dispatch_evacuation_steps.py
+++ b/features/steps/dispatch_evacuation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on data centres that are evacuated and taken back."""
+"""Steps on the evacuation of data centres."""
 
 from collections import Counter
 from unittest import mock
@@ -20,8 +20,8 @@
     context.fleet.evacuate(centre)
 
 
-@when("data centre {centre:w} is taken back")
-def step_take_back(context, centre):
+@when("the evacuation of data centre {centre:w} ends")
+def step_end_evacuation(context, centre):
     context.fleet.take_back(centre)
 
 
@@ -66,8 +66,8 @@
     fleet.cuts |= {(other, entry) for other in others}
 
 
-@when("{entry:w} is reached again")
-def step_reached(context, entry):
+@when("{entry:w} is connected again")
+def step_connected(context, entry):
     context.fleet.cuts.clear()
 
 
@@ -81,8 +81,8 @@
         fleet.start_entry(name, fleet.states[name].data_centre)
 
 
-@when("a job comes to {entry:w} for which there is no room")
-def step_no_room(context, entry):
+@when("a job comes to {entry:w} for which there is no capacity")
+def step_no_capacity(context, entry):
     fleet = context.fleet
     fleet.submit(entry, f"{1:016x}", 100, seconds=3.0, wait=9.0)
     fleet.run(0.05)
@@ -110,8 +110,8 @@
     assert not [start for start in fleet.starts if start[1].job == f"{2:016x}"]
 
 
-@when("every entry reads the store anew, each at another revision")
-def step_read_anew(context):
+@when("every entry reads the store again, each at another revision")
+def step_read_again(context):
     fleet = context.fleet
     context.sent_before = Counter(fleet.sent)
     for name in fleet.living():
@@ -119,8 +119,8 @@
         fleet.read_store(name)
 
 
-@then("no entry tells more than {count:d} others within {seconds:g} seconds")
-def step_told(context, count, seconds):
+@then("no entry sends more than {count:d} status messages within {seconds:g} seconds")
+def step_few_messages(context, count, seconds):
     fleet = context.fleet
     fleet.run(seconds)
     for name in fleet.entry_names:
@@ -142,12 +142,12 @@
     " after that"
 )
 def step_nothing_started(context, centre, seconds):
-    late = late_starts(context, centre, seconds)
+    late = find_late_starts(context, centre, seconds)
     assert not late, (len(late), late[0], context.evacuated_at)
 
 
-def late_starts(context, centre, seconds):
-    """Return the starts in a data centre so long after its evacuation, or later."""
+def find_late_starts(context, centre, seconds):
+    """Return the starts in a data centre that came too long after its evacuation."""
     fleet = context.fleet
     return [
         start
@@ -166,14 +166,14 @@
     assert len(runs) == len(set(runs))
 
 
-@then("all entries and agents take {centre:w} for evacuated")
+@then("all entries and agents regard {centre:w} alone as evacuated")
 def step_known(context, centre):
     for name, state in context.fleet.states.items():
         assert state.evacuations.data_centres == (centre,), name
 
 
-@given("agents take tasks though their data centre is evacuated")
-def step_without_refusal(context):
+@given("agents accept tasks though their data centre is evacuated")
+def step_without_decline(context):
     patch = mock.patch.object(AgentState, "is_evacuated", lambda state: False)
     patch.start()
     context.clean_ups = [patch.stop]
@@ -181,10 +181,10 @@
 
 @then("something has started in data centre {centre:w} later than {s:g} seconds after")
 def step_something_started(context, centre, s):
-    assert late_starts(context, centre, s)
+    assert find_late_starts(context, centre, s)
 
 
-@then("random days {first:d} to {last:d} with evacuations keep every promise")
+@then("random days {first:d} to {last:d} with evacuations keep every guarantee")
 def step_days(context, first, last):
     starts = 0
     for seed in range(first, last + 1):
--- a/features/steps/dispatch_measures_steps.py
+++ b/features/steps/dispatch_measures_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the tools that measure decisions."""
+"""Steps on the tools that measure the benefit of decision mechanisms."""
 
 import json
 import shutil
@@ -12,8 +12,8 @@
 from tools.sourcechange import ROOT
 
 
-@then("each mechanism can be taken away, and changes what it names")
-def step_all_there(context):
+@then("each mechanism can be removed from the source that it names")
+def step_all_removable(context):
     for mechanism in ablation.MECHANISMS:
         with tempfile.TemporaryDirectory() as name:
             copied = Path(name) / mechanism.path
@@ -62,7 +62,7 @@
     context.log.write_text("\n".join(["a line of another kind", *texts]))
 
 
-@when("the losses of the log are asked for")
+@when("the losses of the log are listed")
 def step_losses(context):
     context.result = CliRunner().invoke(where_lost.main, [str(context.log)])
     assert context.result.exit_code == 0, context.result.output
--- a/features/steps/dispatch_mutants_steps.py
+++ b/features/steps/dispatch_mutants_steps.py
@@ -1,4 +1,4 @@
-"""Steps that take one safeguard away and look for the promise that breaks."""
+"""Steps that disable one safeguard and look for the guarantee that is violated."""
 
 from unittest import mock
 
@@ -20,14 +20,14 @@
 
 take_running = agentworker._apply_running
 
-# Without an entry's lease a task must outlive its entry by 1.3 s, and be placed again
-# in time: the rarest of the promises to break, on one day in fifty.
-MOST_SEEDS = 60
+# The rarest violation, without an entry's lease, occurs on one day in fifty: a task has
+# to outlive its entry by 1.3 s, and be placed again by then.
+MAX_SEEDS = 60
 DAY_SECONDS = 10
 
 
-def without(safeguard):
-    """Return the patches that take a safeguard away."""
+def make_patches(safeguard):
+    """Return the patches that disable a safeguard."""
     if safeguard == "an entry's lease at its agents":
         return [mock.patch.object(agent, "expire_entries", lambda state, now: None)]
     if safeguard == "waiting for a silent agent's leases":
@@ -37,17 +37,17 @@
             mock.patch.object(module, "worker_lapse_seconds", lambda: 0.0)
             for module in (agent, agentcalls, agentworker)
         ]
-    if safeguard == "orphaning the tasks of an entry's earlier life":
+    if safeguard == "stopping the tasks of an entry's earlier incarnation":
         return [
             mock.patch.object(
                 agententries, "_stop_entry_runs", lambda *arguments: None
             ),
             mock.patch.object(agent, "expire_entries", lambda state, now: None),
         ]
-    if safeguard == "a stop before a doubtful start is given up":
-        return [mock.patch.object(agentcalls, "_mark_unconfirmed", give_up_doubtful)]
-    if safeguard == "stopping what an earlier life of an agent ran":
-        return [mock.patch.object(agentworker, "_apply_running", ignore_strangers)]
+    if safeguard == "a stop before an unconfirmed start is abandoned":
+        return [mock.patch.object(agentcalls, "_mark_unconfirmed", abandon_start)]
+    if safeguard == "stopping the runs of an agent's earlier incarnation":
+        return [mock.patch.object(agentworker, "_apply_running", ignore_unknown_runs)]
     if safeguard == "the order of an agent's reports":
         return [
             mock.patch.object(
@@ -57,28 +57,28 @@
     raise ValueError(safeguard)
 
 
-def ignore_strangers(state, event, now):
-    """Take what runs for an earlier life for something that never ran."""
+def ignore_unknown_runs(state, event, now):
+    """Ignore the runs that an earlier incarnation of the agent has started."""
     known = {(held.start.key, held.run) for held in state.held.values()}
     event.running[:] = [row for row in event.running if (row.key, row.run) in known]
     return take_running(state, event, now)
 
 
-def give_up_doubtful(state, held, now):
-    """Take a start without an answer for one that never began."""
+def abandon_start(state, held, now):
+    """Treat an unanswered start as one that was never carried out."""
     state.end(held, TaskEnd.DECLINED, 0, "no answer", now)
 
 
-@when("{safeguard} is taken away")
-def step_without(context, safeguard):
-    patches = without(safeguard)
+@when("{safeguard} is disabled")
+def step_disable(context, safeguard):
+    patches = make_patches(safeguard)
     for patch in patches:
         patch.start()
     context.clean_ups = [patch.stop for patch in patches]
 
 
-@then("a late report of an earlier life ends what runs")
-def step_believed(context):
+@then("a late report of an earlier incarnation ends the running tasks")
+def step_late_report_used(context):
     fleet = Fleet(1, 2)
     view = fleet.states["e0"].views["a0"]
     report = msgspec.structs.replace(view.report, open=True)
@@ -93,7 +93,7 @@
     assert len(fleet.starts) > 20, "each task was started once"
 
 
-@then("the second try of a job whose entry was killed overlaps the first")
+@then("the second attempt at a job whose entry was killed overlaps the first")
 def step_overlaps(context):
     fleet = Fleet(2, 2)
     fleet.submit("e0", JOB, 4, seconds=3.0, wait=10.0)
@@ -105,11 +105,11 @@
     assert fleet.overlaps, "no task ran twice at once"
 
 
-@then("a random day breaks a promise")
-def step_breaks(context):
-    for seed in range(MOST_SEEDS):
+@then("a random day violates a guarantee")
+def step_violates(context):
+    for seed in range(MAX_SEEDS):
         day = RandomDay(seed)
         day.play(DAY_SECONDS)
         if day.fleet.overlaps or day.false_refusals or day.unanswered:
             return
-    raise AssertionError(f"{MOST_SEEDS} days passed without it")
+    raise AssertionError(f"{MAX_SEEDS} days passed without it")
--- a/features/support/evacuationday.py
+++ b/features/support/evacuationday.py
@@ -1,4 +1,4 @@
-"""Random days on which data centres are evacuated, among all other faults."""
+"""Random days with evacuations of data centres among all other faults."""
 
 import random
 
@@ -6,18 +6,20 @@
 
 __all__ = ["EvacuationDay"]
 
-# How long a start may come after the request: processes that are frozen or cut off
-# take up to three seconds to hear of it.
-LATEST_START_SECONDS = 4.0
+# How long after an evacuation tasks may still start in its data centre: processes that
+# are frozen or partitioned take up to three seconds to learn of it.
+MAX_START_DELAY_SECONDS = 4.0
 
-GAP_SECONDS = 1.5
-LONGEST_SECONDS = 6.0
+MEAN_INTERVAL_SECONDS = 1.5
+MAX_EVACUATION_SECONDS = 6.0
 
 
 class EvacuationDay(RandomDay):
-    """Plays one seed.
+    """A random day of one seed.
 
-    :ivar late_starts: starts in a data centre that had been evacuated for too long.
+    :ivar operator: random generator for the operator's decisions.
+    :ivar spans: data centre, begin and end of each evacuation.
+    :ivar late_starts: starts in a data centre too long after its evacuation.
     """
 
     def __init__(self, seed, entries=4, workers=6, centres=3):
@@ -41,7 +43,7 @@
         fleet.cut_from_store = set(self.operator.sample(fleet.entry_names, away))
         for name in fleet.living():
             fleet.read_store(name)
-        gap = self.operator.expovariate(1 / GAP_SECONDS)
+        gap = self.operator.expovariate(1 / MEAN_INTERVAL_SECONDS)
         fleet.at(gap, self.next_request)
 
     def evacuate(self, centre):
@@ -53,17 +55,17 @@
             self.spans.append((centre, began, fleet.now))
             fleet.take_back(centre)
 
-        fleet.at(self.operator.uniform(0.1, LONGEST_SECONDS), take_back)
+        fleet.at(self.operator.uniform(0.1, MAX_EVACUATION_SECONDS), take_back)
 
     def judge(self):
         super().judge()
         for at, key, _, worker in self.fleet.starts:
             centre = self.fleet.workers[worker].data_centre
             for evacuated, began, ended in self.spans:
-                late = began + LATEST_START_SECONDS < at < ended
+                late = began + MAX_START_DELAY_SECONDS < at < ended
                 if evacuated == centre and late:
                     self.late_starts.append((at, key, worker, began))
 
     def is_broken(self):
-        """Return whether the day has broken a promise."""
+        """Return whether the day has violated a guarantee."""
         return super().is_broken() or bool(self.late_starts)
