--- a/features/platform_outage.feature
+++ b/features/platform_outage.feature
@@ -1,9 +1,9 @@
-Feature: The platform's service: outages, budget and back-off
+Feature: Key-value service: outages, call budget and back-off
 
-  Scenario: The service is down for minutes and comes back
-    One process of each of 280 cells has reads, a write and a watch waiting. If
-    they all came in the moment of its return the service would go away again, so
-    that operators would see an outage that does not end.
+  Scenario: The service is down for a minute and recovers
+    One process of each of 280 cells has pending reads, a write and a watch. If all
+    of them were sent when the service recovers, they would overload it again and
+    the outage would not end.
     Given a platform service in virtual time
     And 280 platform clients with reads, a write and a watch
     When the service is down for 60 seconds
@@ -12,48 +12,48 @@
     Then no second since saw more than 1400 calls
     And all platform clients have their answers and watches
 
-  Scenario: Clients without back-off would be seen
-    The same outage with clients that wait a twentieth of a second between tries.
-    The count of calls shows it, so the bound above means something.
+  Scenario: The bound on calls detects clients without back-off
+    The same outage with clients that retry every 50 ms exceeds the bound, so that
+    the scenario above can fail.
     Given a platform service in virtual time
     And 280 platform clients with reads, a write and a watch
-    But the clients don't back off
+    But the clients do not back off
     When the service is down for 13 seconds
     Then some second of the outage saw more than 250 calls
 
-  Scenario: One process has many calls waiting when the service returns
-    Its budget has filled up during the outage. Spent at once, by every process
-    of the fleet, it would meet a service that has only just come back.
+  Scenario: One process has many pending calls when the service recovers
+    Its call budget fills up during the outage. If every process of the fleet spent
+    its budget at once, the service that has just recovered would be overloaded.
     Given a platform service in virtual time
-    And one platform client with 40 reads waiting while the service is down
+    And one platform client with 40 pending reads while the service is down
     When the service is back and 10 seconds pass
     Then no second since saw more than 12 calls
 
-  Scenario: One process asks for far too much
-    A fault in one process makes it read without end. The other processes' calls
-    would starve, and every cell would seem to be cut off from the service.
+  Scenario: One process exceeds its call budget
+    A fault in one process makes it read without end. Without a budget the calls of
+    all other processes would starve.
     Given a platform service in virtual time
     When one platform client reads without pause for 60 seconds
     Then the service has seen at most 340 calls
 
-  Scenario: Budget and back-off hold for any use of them
-    Whatever a process does, its calls stay below burst plus rate times time, and
-    its waits within their bounds; otherwise the sums for the fleet are wrong.
-    Then no use of the call budget spends more than it gained
-    And no run of failures waits longer or shorter than its bounds
+  Scenario: Budget and back-off keep their bounds for any sequence of calls
+    A process makes at most burst + rate * time calls, and its waits stay within
+    their bounds. The capacity calculation for the fleet depends on it.
+    Then no sequence of calls spends more than the call budget has gained
+    And no sequence of failures leads to a wait outside its bounds
 
-  Scenario: The same over HTTP
-    The connection is refused, closed, frozen or answered with an error by a real
-    service. Every one of these must count as a failure, none as a refusal.
+  Scenario: Failures over HTTP are classified
+    A connection that is refused or closed, a frozen service and an error response
+    must be told apart: only a call that was certainly not executed is refused.
     Given a platform service over HTTP
     When the reply of a swap over HTTP is lost
-    Then the swap is told as applied
+    Then the swap is reported as applied
     And the write is in the history exactly once
     When a watch over HTTP is cut between two changes
-    Then both changes have come
-    And a call to a port where nobody listens is known not to be sent
+    Then both changes have been received
+    And a call to a port without a listener is known not to be sent
     And a call to a frozen service is not known not to be sent
     And a call with a wrong token is refused with a remedy
     And the calls by the client are counted exactly
-    And a value of a megabyte comes back and through a watch, and no larger one
-    And with two endpoints the second serves while nobody listens at the first
+    And a value of a megabyte is read back and watched, and no larger one is sent
+    And with two endpoints the second is used while the first has no listener
--- a/features/platform_race.py
+++ b/features/platform_race.py
@@ -1,4 +1,4 @@
-"""A race of swaps under faults, and clients that guess where they should not."""
+"""Concurrent swaps under faults, and faulty clients that the race must detect."""
 
 import asyncio
 import contextlib
@@ -12,28 +12,28 @@
 from features.platform_world import World, memory_store
 from standins.keyvalue_virtual import VirtualLoop
 
-# One act of a race: who, what, on which of two keys.
-ACTS = [
+# The actions of a race; swaps and faults come with a number.
+ACTIONS = [
     *("swap", "swap", "swap", "create", "wait", "long wait"),
     *("lose_reply", "lose_request", "hold", "hold"),
     *("slow", "quick", "down", "up", "frozen", "release", "compact"),
 ]
 
 
-def run_race(kind, acts):
-    """Play one race in a world of its own, and return what was told."""
+def run_race(kind, actions):
+    """Run one race in a world of its own, and return the reported outcomes."""
     with contextlib.closing(World(VirtualLoop())) as world:
 
         async def play():
             race = Race(world, kind)
-            await race.play(acts)
-            return race.told
+            await race.play(actions)
+            return race.reported
 
         return world.run(play())
 
 
 class Race:
-    """Three clients that swap one key, and the record of what they were told."""
+    """Three clients that swap keys, and the record of their reported outcomes."""
 
     def __init__(self, world, kind):
         self.world = world
@@ -42,24 +42,24 @@
             for number in range(3)
         ]
         self.swaps = {}
-        self.told = {}
+        self.reported = {}
         self.written = []
         self.seen = world.service.store.revision
         self.tasks = []
-        world.service.store.listeners.add(self.note)
+        world.service.store.listeners.add(self.record_changes)
 
-    def note(self):
+    def record_changes(self):
         store = self.world.service.store
         for change in store.history:
             if change.revision > self.seen:
                 self.written.append((change.revision, change.entry.value))
         self.seen = store.revision
 
-    async def play(self, acts):
-        for act, number in acts:
-            self.act(act, number)
-            await asyncio.sleep({"wait": 0.3, "long wait": 25}.get(act, 0.001))
-        compacted = any(act == "compact" for act, _ in acts)
+    async def play(self, actions):
+        for action, number in actions:
+            self.apply_action(action, number)
+            await asyncio.sleep({"wait": 0.3, "long wait": 25}.get(action, 0.001))
+        compacted = any(action == "compact" for action, _ in actions)
         self.world.service.set_faults(
             {"down": False, "frozen": False, "slow_ms": 0}
             | {"lose_reply": 0, "lose_request": 0, "hold": 0}
@@ -69,66 +69,66 @@
         self.world.service.release()
         self.check()
         for write_id, (client, arguments) in self.swaps.items():
-            if self.told[write_id].outcome is SwapOutcome.UNKNOWN:
-                self.told[write_id] = await client.swap(*arguments)
-                known = self.told[write_id].outcome is not SwapOutcome.UNKNOWN
+            if self.reported[write_id].outcome is SwapOutcome.UNKNOWN:
+                self.reported[write_id] = await client.swap(*arguments)
+                known = self.reported[write_id].outcome is not SwapOutcome.UNKNOWN
                 assert known or compacted, write_id
         await asyncio.sleep(60)
         self.check()
 
-    def act(self, act, number):
+    def apply_action(self, action, number):
         service = self.world.service
-        if act in ("swap", "create"):
-            task = self.swap(number, "new" if act == "create" else "cell")
+        if action in ("swap", "create"):
+            task = self.swap(number, "new" if action == "create" else "cell")
             self.tasks.append(asyncio.create_task(task))
-        elif act in ("lose_reply", "lose_request", "hold"):
-            service.set_faults({act: number})
-        elif act in ("slow", "quick"):
-            service.set_faults({"slow_ms": 2500 if act == "slow" else 0})
-        elif act in ("down", "up"):
-            service.set_faults({"down": act == "down"})
-        elif act == "frozen":
+        elif action in ("lose_reply", "lose_request", "hold"):
+            service.set_faults({action: number})
+        elif action in ("slow", "quick"):
+            service.set_faults({"slow_ms": 2500 if action == "slow" else 0})
+        elif action in ("down", "up"):
+            service.set_faults({"down": action == "down"})
+        elif action == "frozen":
             service.set_faults({"frozen": number > 0})
-        elif act == "release":
+        elif action == "release":
             service.release()
-        elif act == "compact":
+        elif action == "compact":
             service.store.compact()
 
     async def swap(self, number, key):
         client = self.clients[number]
-        held = await client.read(key)
-        if not held.known:
+        current = await client.read(key)
+        if not current.known:
             return
         write_id = f"write-{len(self.swaps)}"
         value = msgspec.json.encode({"write_id": write_id})
-        arguments = (key, held.revision, value, write_id)
+        arguments = (key, current.revision, value, write_id)
         self.swaps[write_id] = (client, arguments)
-        self.told[write_id] = await client.swap(*arguments)
+        self.reported[write_id] = await client.swap(*arguments)
 
     def check(self):
-        for write_id, told in self.told.items():
+        for write_id, reported in self.reported.items():
             value = self.swaps[write_id][1][2]
             revisions = [number for number, wrote in self.written if wrote == value]
-            if told.outcome is SwapOutcome.APPLIED:
-                assert revisions == [told.revision], (told, revisions)
-            elif told.outcome is SwapOutcome.LOST:
-                assert revisions == [], (told, revisions)
+            if reported.outcome is SwapOutcome.APPLIED:
+                assert revisions == [reported.revision], (reported, revisions)
+            elif reported.outcome is SwapOutcome.LOST:
+                assert revisions == [], (reported, revisions)
             else:
-                assert len(revisions) <= 1, (told, revisions)
+                assert len(revisions) <= 1, (reported, revisions)
 
 
-class TimeoutIsRefusal(KeyValueStore):
-    """Says "lost" where it knows nothing."""
+class TreatsTimeoutAsLost(KeyValueStore):
+    """Reports a swap of unknown outcome as lost."""
 
     async def swap(self, key, expected, value, write_id):
-        told = await super().swap(key, expected, value, write_id)
-        if told.outcome is SwapOutcome.UNKNOWN:
+        reported = await super().swap(key, expected, value, write_id)
+        if reported.outcome is SwapOutcome.UNKNOWN:
             return KeySwapped(key, write_id, SwapOutcome.LOST, 0)
-        return told
+        return reported
 
 
-class ReadsBackOnce(KeyValueStore):
-    """Sends once, and after a failure believes what it reads."""
+class TrustsOneRead(KeyValueStore):
+    """Sends a swap once, and after a failure trusts a single read."""
 
     async def _swap_until_certain(self, key, expected, value, write_id):
         self.max_retry_seconds, max_retry_seconds = 0.001, self.max_retry_seconds
@@ -138,23 +138,23 @@
             self.max_retry_seconds = max_retry_seconds
         if verdict is not None:
             return verdict
-        held = await self.read(key)
-        if not held.known:
+        current = await self.read(key)
+        if not current.known:
             return None
-        if contains_write_id(held.value or b"", write_id):
-            return Verdict(SwapOutcome.APPLIED, held.revision)
-        return Verdict(SwapOutcome.LOST, held.revision)
+        if contains_write_id(current.value or b"", write_id):
+            return Verdict(SwapOutcome.APPLIED, current.revision)
+        return Verdict(SwapOutcome.LOST, current.revision)
 
 
-class NoHistory(KeyValueStore):
-    """Takes another's value for the proof that its own was never there."""
+class IgnoresHistory(KeyValueStore):
+    """Takes another writer's value as proof that its own was never applied."""
 
     async def _search_history(self, reply, write_id, start, deadline):
         return swapoutcome.classify_reply(reply, write_id, False)
 
 
-class Forgetful(KeyValueStore):
-    """Takes a swap that is asked again for a new one."""
+class ForgetsInDoubt(KeyValueStore):
+    """Treats a repeated swap as a new one."""
 
     def _track_in_doubt(self, write_id):
         self.in_doubt.clear()
@@ -165,9 +165,9 @@
         return await super()._swap_until_certain(key, expected, value, write_id)
 
 
-GUESSES = {
-    "takes a time-out for a refusal": TimeoutIsRefusal,
-    "reads back once and believes it": ReadsBackOnce,
-    "doesn't look at the history": NoHistory,
-    "forgets what it left unsettled": Forgetful,
+FAULTY_CLIENTS = {
+    "reports a timeout as lost": TreatsTimeoutAsLost,
+    "trusts a single read": TrustsOneRead,
+    "ignores the history": IgnoresHistory,
+    "forgets its swaps in doubt": ForgetsInDoubt,
 }
--- a/features/platform_world.py
+++ b/features/platform_world.py
@@ -1,4 +1,4 @@
-"""What the features of the platform's service share: a loop and a service."""
+"""Event loop, stand-in and client for the features of the key-value service."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 def memory_store(service, name, seed=0, kind=KeyValueStore, count=lambda name: None):
-    """A client with an agent's budget and a fixed seed."""
+    """Return a client with an agent's call budget and a fixed seed."""
     return kind(
         MemoryConnection(service, name),
         CallBudget(AGENT_RATE, AGENT_BURST),
@@ -25,12 +25,12 @@
 
 
 class World:
-    """A loop with one service, a client, and what a scenario has seen."""
+    """An event loop with a service and a client, and a scenario's observations."""
 
     def __init__(self, loop):
         self.loop = loop
         self.tasks = []
-        self.hooks = []
+        self.failure_hooks = []
         self.counted = []
         self.seen = []
         self.run(self.start())
@@ -43,9 +43,9 @@
     def count(self, name):
         self.counted.append(name)
         if name.startswith("platform.failure."):
-            for hook in self.hooks:
+            for hook in self.failure_hooks:
                 hook()
-            self.hooks.clear()
+            self.failure_hooks.clear()
 
     def run(self, work):
         return self.loop.run_until_complete(work)
--- a/features/steps/platform_outage_steps.py
+++ b/features/steps/platform_outage_steps.py
@@ -42,7 +42,7 @@
     context.use, context.number = use, number
 
 
-@given("the clients don't back off")
+@given("the clients do not back off")
 def step_no_backoff(context):
     longest = backoff_module.MAX_WAIT_SECONDS
     backoff_module.MAX_WAIT_SECONDS = backoff_module.INITIAL_WAIT_SECONDS
@@ -53,7 +53,7 @@
     context.clean_ups.append(restore)
 
 
-@given("one platform client with {number:d} reads waiting while the service is down")
+@given("one platform client with {number:d} pending reads while the service is down")
 def step_waiting_reads(context, number):
     world = context.world
     world.service.set_faults({"down": True})
@@ -77,8 +77,8 @@
     async def outage():
         for index in range(context.number):
             world.tasks.append(asyncio.create_task(context.use(index)))
-        # All begin in the same moment, which no back-off can help; the bound is
-        # for what they do afterwards.
+        # All start at the same time, which back-off can't prevent; the bound is
+        # for the calls after that.
         await asyncio.sleep(10)
         world.service.calls.clear()
         await asyncio.sleep(seconds - 10)
@@ -134,7 +134,7 @@
     assert number / 2 < total <= number, total
 
 
-@then("no use of the call budget spends more than it gained")
+@then("no sequence of calls spends more than the call budget has gained")
 def step_budget_property(context):
     pauses = strategies.floats(0, 10)
     costs = strategies.sampled_from([1, 5])
@@ -155,7 +155,7 @@
     property_holds()
 
 
-@then("no run of failures waits longer or shorter than its bounds")
+@then("no sequence of failures leads to a wait outside its bounds")
 def step_backoff_property(context):
     @settings(max_examples=100, **PROPERTY)
     @drawn(strategies.integers(1, 2000), strategies.integers())
@@ -163,7 +163,7 @@
         backoff, now, generator = Backoff(), 0.0, random.Random(seed)
         for number in range(1, failures + 1):
             backoff.record_failure(now, now, generator)
-            # One that was under way at the same time is not a second failure.
+            # A failure of a concurrent call does not count as a second one.
             backoff.record_failure(now - 1, now, generator)
             bound = min(0.05 * 2 ** min(number, 20), backoff_module.MAX_WAIT_SECONDS)
             assert bound / 2 - 1e-6 <= backoff.remaining(now) <= bound + 1e-6
--- a/features/steps/platform_race_steps.py
+++ b/features/steps/platform_race_steps.py
@@ -1,4 +1,4 @@
-"""Steps for swaps whose replies are lost, and for races of them."""
+"""Steps for swaps whose replies are lost, and for concurrent swaps."""
 
 import contextlib
 
@@ -12,7 +12,7 @@
     WriteIdMissingError,
 )
 from cactuswalk.platform.swapoutcome import contains_write_id
-from features.platform_race import ACTS, GUESSES, run_race
+from features.platform_race import ACTIONS, FAULTY_CLIENTS, run_race
 from features.platform_world import PROPERTY, World, memory_store
 from standins.keyvalue_virtual import VirtualLoop
 
@@ -35,22 +35,22 @@
 @given("another writer replaces the value as soon as a call fails")
 def step_other(context):
     store = context.world.service.store
-    context.world.hooks.append(lambda: store.put(b"cell", b"other"))
+    context.world.failure_hooks.append(lambda: store.put(b"cell", b"other"))
 
 
 @given("the service goes down as soon as a call fails")
 def step_goes_down(context):
     service = context.world.service
-    context.world.hooks.append(lambda: service.set_faults({"down": True}))
+    context.world.failure_hooks.append(lambda: service.set_faults({"down": True}))
 
 
 @given("the service compacts its history as soon as a call fails")
 def step_compacts(context):
-    context.world.hooks.append(context.world.service.store.compact)
+    context.world.failure_hooks.append(context.world.service.store.compact)
 
 
 @when("a platform client swaps the key")
-@when("the client asks again for the same swap")
+@when("the client repeats the swap")
 def step_swap(context):
     world = context.world
     context.write_id, context.value = "node-1", msgspec.json.encode(["node-1"])
@@ -64,7 +64,7 @@
     assert context.world.service.release() > 0
 
 
-@then("the swap is told as {outcome}")
+@then("the swap is reported as {outcome}")
 def step_outcome(context, outcome):
     assert context.swapped.outcome == outcome, context.swapped
 
@@ -84,7 +84,7 @@
     assert times_written(context.world, context.value) == 0
 
 
-@then('a value of write "{other}" does not name write "{write_id}"')
+@then('a value of write "{other}" does not contain write id "{write_id}"')
 def step_names(context, other, write_id):
     for encode in (msgspec.json.encode, msgspec.msgpack.encode):
         assert contains_write_id(encode({"write_id": other}), other)
@@ -99,7 +99,7 @@
         except WriteIdMissingError as error:
             assert error.remedy
         else:
-            raise AssertionError("it was sent")
+            raise AssertionError("the value was sent")
         assert world.service.calls.report()["total"] == 0
 
 
@@ -108,19 +108,19 @@
     context.world.service.store.revision = 1
 
 
-@then("a read by the same client is not known")
+@then("a read by the same client has no known result")
 def step_not_known(context):
     assert not context.world.run(context.world.store.read("cell")).known
 
 
-@then('the client\'s problem has the code "{code}"')
+@then('the client\'s last error has the code "{code}"')
 def step_problem(context, code):
     assert context.world.store.last_error.code == code
     assert context.world.store.last_error.remedy
 
 
 RACES = strategies.lists(
-    strategies.tuples(strategies.sampled_from(ACTS), strategies.integers(0, 2)),
+    strategies.tuples(strategies.sampled_from(ACTIONS), strategies.integers(0, 2)),
     max_size=25,
 )
 
@@ -128,18 +128,18 @@
 def run_races(kind, examples, **more):
     @settings(max_examples=examples, **PROPERTY, **more)
     @drawn(RACES)
-    def property_holds(acts):
-        run_race(kind, acts)
+    def property_holds(actions):
+        run_race(kind, actions)
 
     property_holds()
 
 
-@then("no race of swaps contradicts what its clients were told")
+@then("no race of swaps contradicts the outcomes reported to its clients")
 def step_races(context):
     run_races(KeyValueStore, 300)
 
 
-@then("nor does it where clients remember one doubt only")
+@then("no race does so with clients that remember only one swap in doubt")
 def step_races_forgetting(context):
     limit, store_module.MAX_IN_DOUBT_SWAPS = store_module.MAX_IN_DOUBT_SWAPS, 1
     try:
@@ -148,22 +148,22 @@
         store_module.MAX_IN_DOUBT_SWAPS = limit
 
 
-@when("the client is replaced and the next one asks for the same swap")
-def step_next_life(context):
+@when("the client is replaced and the next one repeats the swap")
+def step_next_run(context):
     world = context.world
 
-    async def next_life():
-        store = memory_store(world.service, "next life")
+    async def run_next():
+        store = memory_store(world.service, "next run")
         return await store.resolve_swap("cell", 2, context.value, context.write_id)
 
-    context.swapped = world.run(next_life())
+    context.swapped = world.run(run_next())
 
 
-@then("the race finds a client that {guess}")
-def step_mutant(context, guess):
+@then("the race detects a client that {fault}")
+def step_mutant(context, fault):
     try:
-        # The first contradiction is enough: it need not be made shorter.
-        run_races(GUESSES[guess], 2000, phases=[Phase.generate])
+        # The first contradiction is enough, so shrinking is left out.
+        run_races(FAULTY_CLIENTS[fault], 2000, phases=[Phase.generate])
     except AssertionError:
         return
-    raise RuntimeError("no race told this client from an honest one")
+    raise RuntimeError("no race has detected the faulty client")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the platform's service: its switches, and the client over HTTP."""
+"""Steps for the key-value service: its faults, and the client over HTTP."""
 
 import asyncio
 import contextlib
@@ -91,7 +91,7 @@
     world.run(asyncio.wait_for(follow(), 30))
 
 
-@then("both changes have come")
+@then("both changes have been received")
 def step_both(context):
     assert context.world.seen == [b"1", b"2"]
 
@@ -112,21 +112,21 @@
 
 
 @contextlib.contextmanager
-def deserted_url():
-    """An address that is taken, so nobody else gets it, but not listened at."""
+def url_without_listener():
+    """Yield an address that is bound, so that it stays free, but has no listener."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         yield f"http://127.0.0.1:{taken.getsockname()[1]}"
 
 
-@then("a call to a port where nobody listens is known not to be sent")
+@then("a call to a port without a listener is known not to be sent")
 def step_http_refused(context):
-    with deserted_url() as url:
+    with url_without_listener() as url:
         error = http_failure(context.world, url)
     assert not error.sent
 
 
-@then("with two endpoints the second serves while nobody listens at the first")
+@then("with two endpoints the second is used while the first has no listener")
 def step_http_endpoints(context):
     world = context.world
 
@@ -138,20 +138,20 @@
         finally:
             await store.close()
 
-    with deserted_url() as url:
+    with url_without_listener() as url:
         assert world.run(read(url)).known
 
 
-@then("a value of a megabyte comes back and through a watch, and no larger one")
+@then("a value of a megabyte is read back and watched, and no larger one is sent")
 def step_http_megabyte(context):
     world = context.world
     value = b'"large-1"'.ljust(MAX_VALUE_BYTES)
 
     async def follow():
-        told = await world.store.swap("large", 0, value, "large-1")
-        assert told.outcome is SwapOutcome.APPLIED
+        reported = await world.store.swap("large", 0, value, "large-1")
+        assert reported.outcome is SwapOutcome.APPLIED
         assert (await world.store.read("large")).value == value
-        return (await anext(world.store.watch("large", told.revision - 1))).changes
+        return (await anext(world.store.watch("large", reported.revision - 1))).changes
 
     changes = world.run(asyncio.wait_for(follow(), 30))
     assert [change.value for change in changes] == [value]
@@ -160,7 +160,7 @@
     except ValueTooLargeError as error:
         assert error.remedy
     else:
-        raise AssertionError("it was sent")
+        raise AssertionError("the value was sent")
 
 
 @then("a call to a frozen service is not known not to be sent")
@@ -179,7 +179,7 @@
 
 @then("the calls by the client are counted exactly")
 def step_http_counts(context):
-    # Two copies of the swap, two watches, one read by the frozen call; the
-    # refused ones never came to be counted.
+    # Two copies of the swap, two watches, and the read of the frozen service. Calls
+    # that were refused are not counted.
     report = context.world.service.calls.report()
     assert report["by_client"] == {"web": {"txn": 2, "watch": 2, "range": 1}}, report
--- a/features/steps/platform_watch_steps.py
+++ b/features/steps/platform_watch_steps.py
@@ -1,4 +1,4 @@
-"""Steps for watches and leases of the platform's service."""
+"""Steps for watches and leases of the key-value service."""
 
 import asyncio
 import contextlib
@@ -48,20 +48,24 @@
     context.world.service.store.compact()
 
 
-@then("the watch has brought each change once and in order")
+@then("the watch has delivered each change once and in order")
 def step_each_once(context):
     world = context.world
     world.run(asyncio.sleep(10))
     first, *others = world.seen
     assert first.is_snapshot and not any(changes.is_snapshot for changes in others)
-    brought = [change.mod_revision for news in others for change in news.changes]
+    delivered = [
+        change.mod_revision
+        for changes_batch in others
+        for change in changes_batch.changes
+    ]
     history = [change.revision for change in world.service.store.history]
-    assert brought == [number for number in history if number > first.revision]
-    assert brought
+    assert delivered == [number for number in history if number > first.revision]
+    assert delivered
 
 
-@then('the watch has brought a whole list without "{key}" last')
-def step_whole(context, key):
+@then('the last result of the watch is a snapshot without "{key}"')
+def step_snapshot(context, key):
     context.world.run(asyncio.sleep(10))
     last = context.world.seen[-1]
     assert last.is_snapshot
@@ -69,12 +73,12 @@
     assert last.revision == context.world.service.store.revision
 
 
-@then("the watch has been opened again")
+@then("the watch has been reopened")
 def step_reopened(context):
     assert context.world.counted.count("platform.call.watch") >= 2
 
 
-WATCH_ACTS = strategies.lists(
+WATCH_ACTIONS = strategies.lists(
     strategies.sampled_from(
         ["put a", "put b", "delete a", "cut", "compact", "down", "up", "wait"]
     ),
@@ -82,46 +86,46 @@
 )
 
 
-@then("no order of faults makes a platform watch miss a change or go back")
+@then("no sequence of faults makes a platform watch miss a change or go back")
 def step_watch_property(context):
     @settings(max_examples=150, **PROPERTY)
-    @drawn(WATCH_ACTS)
-    def property_holds(acts):
+    @drawn(WATCH_ACTIONS)
+    def property_holds(actions):
         with contextlib.closing(World(VirtualLoop())) as world:
-            world.run(play_watch(world, acts))
+            world.run(run_watch(world, actions))
 
     property_holds()
 
 
-async def play_watch(world, acts):
-    held, revisions = {}, []
+async def run_watch(world, actions):
+    current, revisions = {}, []
 
     async def follow():
-        async for news in world.store.watch("", 0):
-            assert not revisions or news.revision >= revisions[-1], revisions
-            revisions.append(news.revision)
-            if news.is_snapshot:
-                held.clear()
-            for change in news.changes:
-                held[change.key] = (change.value, change.mod_revision)
+        async for changes_batch in world.store.watch("", 0):
+            assert not revisions or changes_batch.revision >= revisions[-1], revisions
+            revisions.append(changes_batch.revision)
+            if changes_batch.is_snapshot:
+                current.clear()
+            for change in changes_batch.changes:
+                current[change.key] = (change.value, change.mod_revision)
 
     following = asyncio.create_task(follow())
-    for act in acts:
-        act_on(world.service, act)
-        await asyncio.sleep(3 if act == "wait" else 0.01)
+    for action in actions:
+        apply_action(world.service, action)
+        await asyncio.sleep(3 if action == "wait" else 0.01)
     world.service.set_faults({"down": False})
     await asyncio.sleep(20)
     if following.done():
         following.result()
-    alive = {key: value for key, value in held.items() if value[0] is not None}
+    alive = {key: value for key, value in current.items() if value[0] is not None}
     entries = world.service.store.entries.values()
     assert alive == {
         entry.key.decode(): (entry.value, entry.mod_revision) for entry in entries
     }
 
 
-def act_on(service, act):
-    verb, _, key = act.partition(" ")
+def apply_action(service, action):
+    verb, _, key = action.partition(" ")
     if verb == "put":
         service.store.put(key.encode(), b"%d" % service.store.revision)
     elif verb == "delete":
@@ -145,8 +149,8 @@
     context.lease = world.run(grant())
 
 
-@when("the service lapses the lease")
-def step_lapse(context):
+@when("the service revokes the lease")
+def step_revoke(context):
     context.world.service.store.revoke(context.lease.identifier)
 
 
@@ -190,6 +194,6 @@
     connection.stream = repeating
 
 
-@then("changes that came again are counted")
+@then("repeated changes are counted")
 def step_repeated(context):
     assert "platform.watch.repeated" in context.world.counted
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's key-value service, with switches for faults.
+"""Stand-in for the platform's key-value service, with fault injection.
 
-It speaks the JSON gateway of etcd v3 as published (range, put, deleterange, txn,
-leases, watch) and, under ``/standin/``, takes faults and reports calls::
+It serves etcd v3's published JSON gateway (range, put, deleterange, txn, leases,
+watch). Paths under ``/standin/`` set faults and report calls::
 
     python -m standins.keyvalue --port 0 --port-file build/keyvalue.port
     curl -X POST localhost:PORT/standin/faults -d '{"down": true}'
@@ -11,8 +11,8 @@
     curl -X POST localhost:PORT/standin/release
     curl localhost:PORT/standin/calls
 
-Its state stays in memory while it is "down", as the real service's stays on
-its disks. Calls are counted by kind and by the header ``X-Client-Name``.
+Its state is kept in memory while it is "down", as the real service keeps its state on
+disk. Calls are counted by kind and by the header ``X-Client-Name``.
 """
 
 import asyncio
@@ -37,17 +37,17 @@
 
 __all__ = ["KeyValueService", "main"]
 
-# A whole value in base64, and room for the request around it.
-MAXIMUM_REQUEST_BYTES = 4 * MAX_VALUE_BYTES
+# The largest value in base64, and room for the rest of the request.
+MAX_REQUEST_BYTES = 4 * MAX_VALUE_BYTES
 
-# etcd counts leases in whole seconds; a tenth of one is fine enough to end them.
-LEASE_POLL_SECONDS = 0.1
+# etcd measures leases in whole seconds, so a tenth is precise enough.
+LEASE_CHECK_SECONDS = 0.1
 
-# etcd's own default is 10 minutes; shorter, so that tests and idle nodes see
-# that a silent watch is alive.
-PROGRESS_SECONDS = 1.0
+# etcd's default is 10 minutes. It is shorter here, so that tests and idle nodes see
+# that a watch without changes is alive.
+PROGRESS_INTERVAL_SECONDS = 1.0
 
-# gRPC codes and the HTTP statuses that the gateway gives them.
+# The gateway's HTTP status for each gRPC status code.
 HTTP_STATUSES = {3: 400, 5: 404, 9: 400, 11: 400, 12: 501, 16: 401}
 
 PATHS = {
@@ -65,19 +65,19 @@
 
 
 class KeyValueService:
-    """The service in one process; ``start`` and ``stop`` it in any loop."""
+    """The service in one process; it can be started and stopped in any event loop."""
 
     def __init__(self, token: str = "") -> None:
         self.store = Store()
         self.faults = Faults()
-        self.thawed = asyncio.Event()
-        self.thawed.set()
+        self.unfrozen = asyncio.Event()
+        self.unfrozen.set()
         self.calls = CallCounts()
         self.token = token
         self.port = 0
-        self.held: list[collections.abc.Callable[[], object]] = []
+        self.held_writes: list[collections.abc.Callable[[], object]] = []
         self.watchers: set[asyncio.Task[None]] = set()
-        # Each kind of call with whether it writes, which some faults ask.
+        # Each kind of call, and whether it writes: some faults apply to writes only.
         self.operations: dict[str, tuple[Operation, bool]] = {
             "range": (wire.range_, False),
             "put": (wire.put, True),
@@ -88,10 +88,10 @@
             "revoke": (self._revoke, True),
         }
         self.runner: web.AppRunner | None = None
-        self.expiry: asyncio.Task[None] | None = None
+        self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self, port: int = 0) -> None:
-        """Listen on the loopback; ``self.port`` is the port afterwards."""
+        """Listen on the loopback interface, and set ``self.port``."""
         self.runner = web.AppRunner(
             self.application(), shutdown_timeout=0.1, access_log=None
         )
@@ -99,16 +99,16 @@
         site = web.TCPSite(self.runner, "127.0.0.1", port)
         await site.start()
         self.port = self.runner.addresses[0][1]
-        self.expiry = asyncio.create_task(self.expire_leases())
+        self.expiry_task = asyncio.create_task(self.expire_leases())
 
     async def stop(self) -> None:
-        """Close all connections; the state stays in this object."""
+        """Close all connections; the object keeps its state."""
         self.set_faults(msgspec.structs.asdict(Faults()))
         self.cut_watches()
-        if self.expiry is not None:
-            self.expiry.cancel()
+        if self.expiry_task is not None:
+            self.expiry_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self.expiry
+                await self.expiry_task
         if self.runner is not None:
             await self.runner.cleanup()
 
@@ -118,8 +118,8 @@
         return f"http://127.0.0.1:{self.port}"
 
     def application(self) -> web.Application:
-        """Return the routes of the gateway and of the stand-in's own switches."""
-        application = web.Application(client_max_size=MAXIMUM_REQUEST_BYTES)
+        """Return the application with the gateway's routes and those for faults."""
+        application = web.Application(client_max_size=MAX_REQUEST_BYTES)
         post = application.router.add_post
         for kind, path in PATHS.items():
             post(path, self._handler(kind))
@@ -135,45 +135,45 @@
         return application
 
     def cut_watches(self) -> None:
-        """Close every waiting watch, as a broken connection would."""
+        """Cut every open watch, as a broken connection would."""
         for task in list(self.watchers):
             task.cancel()
 
     def set_faults(self, changes: wire.Json) -> None:
-        """Change some switches; the others stay."""
+        """Change the given faults, and leave the others unchanged."""
         merged = msgspec.structs.asdict(self.faults) | changes
         self.faults = msgspec.convert(merged, Faults)
         if self.faults.frozen:
-            self.thawed.clear()
+            self.unfrozen.clear()
         else:
-            self.thawed.set()
+            self.unfrozen.set()
         if self.faults.down:
             self.cut_watches()
 
     def release(self) -> int:
-        """Apply the writes that were held back, in the order they came."""
-        held, self.held = self.held, []
-        for apply in held:
+        """Apply the writes that were held back, in their order; return how many."""
+        held_writes, self.held_writes = self.held_writes, []
+        for apply in held_writes:
             with contextlib.suppress(StoreError):
                 apply()
-        return len(held)
+        return len(held_writes)
 
-    async def answer(self, kind: str, body: wire.Json, client: str) -> wire.Json:
-        """Carry out one call, with the faults that are switched on.
+    async def execute(self, kind: str, body: wire.Json, client: str) -> wire.Json:
+        """Execute one call under the current faults.
 
         :raises StoreError: if the call is refused.
-        :raises LostRequestError: if it goes missing before it is applied.
-        :raises LostReplyError: if it is applied and the reply goes missing.
+        :raises LostRequestError: if the request is dropped before it is applied.
+        :raises LostReplyError: if it is applied and the reply is dropped.
         """
         self.count(kind, client)
         operation, writes = self.operations[kind]
         await self._delay()
         if self.faults.down:
             raise LostRequestError
-        return self._operate(operation, body, writes)
+        return self._apply_operation(operation, body, writes)
 
     def count(self, kind: str, client: str) -> None:
-        """Count a call; while the service is down it goes no further.
+        """Count a call, also while the service is down.
 
         :raises LostRequestError: if the service is down.
         """
@@ -185,14 +185,14 @@
         self, kind: str
     ) -> collections.abc.Callable[[web.Request], typing.Awaitable[web.Response]]:
         async def handle(request: web.Request) -> web.Response:
-            self._authorise(request)
+            self._check_token(request)
             client = request.headers.get("X-Client-Name", "")
             try:
-                reply = await self.answer(kind, await request.json(), client)
+                reply = await self.execute(kind, await request.json(), client)
             except StoreError as error:
-                return _error(error)
+                return _error_response(error)
             except (LostReplyError, LostRequestError):
-                return _close(request)
+                return _abort_connection(request)
             return web.json_response(reply)
 
         return handle
@@ -200,32 +200,32 @@
     async def _delay(self) -> None:
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1000)
-        await self.thawed.wait()
+        await self.unfrozen.wait()
 
-    def _operate(
+    def _apply_operation(
         self, operation: Operation, body: wire.Json, writes: bool
     ) -> wire.Json:
-        if writes and self.faults.take("lose_request"):
+        if writes and self.faults.consume("lose_request"):
             raise LostRequestError
-        if writes and self.faults.take("hold"):
-            self.held.append(lambda: operation(self.store, body))
+        if writes and self.faults.consume("hold"):
+            self.held_writes.append(lambda: operation(self.store, body))
             raise LostRequestError
         reply = operation(self.store, body)
-        if writes and self.faults.take("lose_reply"):
+        if writes and self.faults.consume("lose_reply"):
             raise LostReplyError
         return reply
 
-    def _authorise(self, request: web.Request) -> None:
+    def _check_token(self, request: web.Request) -> None:
         if self.token and request.headers.get("Authorization") != self.token:
             body = {"code": 16, "message": "etcdserver: invalid auth token"}
             raise web.HTTPUnauthorized(text=msgspec.json.encode(body).decode())
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        self._authorise(request)
+        self._check_token(request)
         try:
             self.count("watch", request.headers.get("X-Client-Name", ""))
         except LostRequestError:
-            return _close(request)
+            return _abort_connection(request)
         create = (await request.json())["create_request"]
         await self._delay()
         response = web.StreamResponse(headers={"Content-Type": "application/json"})
@@ -238,7 +238,7 @@
         try:
             await task
         except asyncio.CancelledError:
-            _close(request)
+            _abort_connection(request)
         except ConnectionError:
             pass
         finally:
@@ -251,16 +251,16 @@
         self.watchers.add(task)
         self.calls.waiting += 1
         try:
-            await self._follow(send, create)
+            await self._send_changes(send, create)
         finally:
             self.watchers.discard(task)
             self.calls.waiting -= 1
 
-    async def _follow(self, send: Send, create: wire.Json) -> None:
-        key = wire.to_bytes(create.get("key"))
-        range_end = wire.to_bytes(create.get("range_end"))
-        following = wire.integer(create.get("start_revision"))
-        following = following or self.store.revision + 1
+    async def _send_changes(self, send: Send, create: wire.Json) -> None:
+        key = wire.from_base64(create.get("key"))
+        range_end = wire.from_base64(create.get("range_end"))
+        next_revision = wire.to_int(create.get("start_revision"))
+        next_revision = next_revision or self.store.revision + 1
         changed = asyncio.Event()
         self.store.listeners.add(changed.set)
         try:
@@ -269,7 +269,7 @@
                 changed.clear()
                 await self._delay()
                 try:
-                    changes = self.store.changes_since(following)
+                    changes = self.store.changes_since(next_revision)
                 except StoreError:
                     await self._send(send, self._compacted())
                     return
@@ -278,10 +278,10 @@
                     for change in changes
                     if in_range(change.key, key, range_end)
                 ]
-                following = max(following, self.store.revision + 1)
+                next_revision = max(next_revision, self.store.revision + 1)
                 await self._send(send, {"events": events} if events else {})
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(changed.wait(), PROGRESS_SECONDS)
+                    await asyncio.wait_for(changed.wait(), PROGRESS_INTERVAL_SECONDS)
         finally:
             self.store.listeners.discard(changed.set)
 
@@ -295,7 +295,7 @@
     def _grant(self, store: Store, request: wire.Json) -> wire.Json:
         now = asyncio.get_running_loop().time()
         ttl, identifier = request.get("TTL"), request.get("ID")
-        lease = store.grant(wire.integer(ttl), wire.integer(identifier), now)
+        lease = store.grant(wire.to_int(ttl), wire.to_int(identifier), now)
         return {
             "header": wire.header(store),
             "ID": str(lease.identifier),
@@ -303,21 +303,21 @@
         }
 
     def _renew(self, store: Store, request: wire.Json) -> wire.Json:
-        identifier = wire.integer(request.get("ID"))
+        identifier = wire.to_int(request.get("ID"))
         ttl = store.keep_alive(identifier, asyncio.get_running_loop().time())
         result = {"header": wire.header(store), "ID": str(identifier)}
         return {"result": result | ({"TTL": str(ttl)} if ttl else {})}
 
     def _revoke(self, store: Store, request: wire.Json) -> wire.Json:
-        store.revoke(wire.integer(request.get("ID")))
+        store.revoke(wire.to_int(request.get("ID")))
         return {"header": wire.header(store)}
 
     async def expire_leases(self) -> None:
-        """End leases as they run out, until this task is cancelled."""
+        """End expired leases until this task is cancelled."""
         while True:
-            await asyncio.sleep(LEASE_POLL_SECONDS)
-            # A frozen or absent service ends no lease; etcd too extends leases
-            # when it comes back under a new leader.
+            await asyncio.sleep(LEASE_CHECK_SECONDS)
+            # No lease ends while the service is down or frozen. etcd also extends
+            # leases when it recovers under a new leader.
             if not self.faults.down and not self.faults.frozen:
                 self.store.expire(asyncio.get_running_loop().time())
 
@@ -334,13 +334,13 @@
 
     async def _lapse(self, request: web.Request) -> web.Response:
         try:
-            self.store.revoke(wire.integer((await request.json()).get("ID")))
+            self.store.revoke(wire.to_int((await request.json()).get("ID")))
         except StoreError as error:
-            return _error(error)
+            return _error_response(error)
         return web.json_response({})
 
     async def _compact(self, request: web.Request) -> web.Response:
-        self.store.compact(wire.integer((await request.json()).get("revision")))
+        self.store.compact(wire.to_int((await request.json()).get("revision")))
         return web.json_response({"compact_revision": str(self.store.compacted)})
 
     async def _release(self, request: web.Request) -> web.Response:
@@ -354,25 +354,25 @@
         return web.json_response({})
 
 
-def _close(request: web.Request) -> web.Response:
-    """Cut the connection; the response is never seen."""
+def _abort_connection(request: web.Request) -> web.Response:
+    """Abort the connection; the returned response is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
-def _error(error: StoreError) -> web.Response:
+def _error_response(error: StoreError) -> web.Response:
     body = {"code": error.code, "message": error.message, "error": error.message}
     return web.json_response(body, status=HTTP_STATUSES.get(error.code, 500))
 
 
 async def serve(port: int, port_file: str, token: str) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process ends."""
     service = KeyValueService(token)
     await service.start(port)
     click.echo(f"key-value stand-in listens on {service.url}")
     if port_file:
-        # Renamed into place, so that a reader never sees half a number.
+        # Renamed into place, so that a reader never sees a partial number.
         partial = pathlib.Path(f"{port_file}.partial")
         partial.write_text(f"{service.port}\n", encoding="utf-8")  # noqa: ASYNC240
         os.replace(partial, port_file)
@@ -383,11 +383,11 @@
 
 
 @click.command()
-@click.option("--port", default=0, show_default=True, help="0 takes a free one.")
+@click.option("--port", default=0, show_default=True, help="0 for a free port.")
 @click.option("--port-file", default="", help="Write the port to this file.")
-@click.option("--token", default="", help="Refuse calls without this token.")
+@click.option("--token", default="", help="Token that calls must carry.")
 def main(port: int, port_file: str, token: str) -> None:
-    """Run the key-value stand-in on the loopback."""
+    """Run the key-value stand-in on the loopback interface."""
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(serve(port, port_file, token))
 
--- a/standins/keyvalue_faults.py
+++ b/standins/keyvalue_faults.py
@@ -1,4 +1,4 @@
-"""Switches for the faults of the key-value stand-in, and the count of calls."""
+"""Faults of the key-value stand-in, and its call counts."""
 
 import collections
 
@@ -8,25 +8,24 @@
 
 
 class LostRequestError(Exception):
-    """The request went missing: nothing was applied and no reply is sent."""
+    """The request was dropped: it was not applied and gets no reply."""
 
 
 class LostReplyError(Exception):
-    """The request was applied and its reply goes missing."""
+    """The request was applied and its reply was dropped."""
 
 
 class Faults(msgspec.Struct):
-    """What is wrong with the service at the moment.
-
-    :param down: every connection is closed without an answer; state is kept.
-    :param frozen: nothing is answered or applied until it is switched off;
-        what came meanwhile is applied then, as by a process that was stopped.
-    :param slow_ms: each call waits so long before it is applied.
-    :param lose_reply: for so many writes to come, apply and drop the reply.
-    :param lose_request: for so many writes to come, drop the request.
-    :param hold: for so many writes to come, close the connection, and apply
-        the write only on ``release``: a write that lands long after its caller
-        gave up.
+    """The current faults of the service.
+
+    :param down: every connection is closed without a reply; the state is kept.
+    :param frozen: no call is applied or answered until the fault is cleared;
+        pending calls are applied then, as by a process that was suspended.
+    :param slow_ms: delay of each call before it is applied.
+    :param lose_reply: number of further writes to apply without a reply.
+    :param lose_request: number of further writes to drop.
+    :param hold: number of further writes whose connection is closed and which are
+        applied only on ``release``, long after their callers gave up.
     """
 
     down: bool = False
@@ -36,17 +35,20 @@
     lose_request: int = 0
     hold: int = 0
 
-    def take(self, name: str) -> bool:
-        """Use up one of the faults that are counted down."""
-        left = getattr(self, name)
-        if left <= 0:
+    def consume(self, name: str) -> bool:
+        """Decrement a counted fault; return whether it applies to this call."""
+        remaining = getattr(self, name)
+        if remaining <= 0:
             return False
-        setattr(self, name, left - 1)
+        setattr(self, name, remaining - 1)
         return True
 
 
 class CallCounts:
-    """Exact counts of calls; a watch that waits is one call, made once."""
+    """Exact counts of calls; an open watch counts as one call.
+
+    ``waiting`` is the number of open watches.
+    """
 
     __slots__ = ("by_client", "by_second", "waiting")
 
@@ -61,7 +63,7 @@
         self.by_second[int(now)] += 1
 
     def clear(self) -> None:
-        """Begin the counts anew; watches that wait go on."""
+        """Reset the counts; open watches stay open and are not counted again."""
         self.by_client.clear()
         self.by_second.clear()
 
--- a/standins/keyvalue_store.py
+++ b/standins/keyvalue_store.py
@@ -1,8 +1,8 @@
-"""The state behind the key-value stand-in, without network or clock.
+"""State of the key-value stand-in, without network and clock.
 
 It follows etcd's published model (v3 API, "KV", "Lease" and "Watch" services):
-one revision for the whole store that each changing request raises by one, and
-for each key the revisions of its creation and of its last change.
+the store has one revision that each changing request increments, and each key has
+the revisions of its creation and of its last change.
 """
 
 import bisect
@@ -19,12 +19,12 @@
     "StoreError",
 ]
 
-# The brief: the platform's service holds values up to a megabyte.
+# By the specification the platform's service stores values up to a megabyte.
 MAX_VALUE_BYTES = 1 << 20
 
 
 class StoreError(Exception):
-    """A request that the service refuses, with its gRPC code."""
+    """A request that the service refuses, with the gRPC status code."""
 
     def __init__(self, code: int, message: str) -> None:
         super().__init__(message)
@@ -33,7 +33,7 @@
 
 
 class Entry(msgspec.Struct):
-    """One key as it stands."""
+    """A key, its value and its revisions."""
 
     key: bytes
     value: bytes
@@ -44,7 +44,7 @@
 
 
 class Change(msgspec.Struct):
-    """One key's change in the history; ``entry`` is None for a deletion."""
+    """A change of a key in the history; ``entry`` is None for a deletion."""
 
     revision: int
     key: bytes
@@ -52,7 +52,7 @@
 
 
 class Lease(msgspec.Struct):
-    """A lease and the keys that go with it; ``expires`` is the caller's clock."""
+    """A lease; ``expires_at`` is on the clock of the store's caller."""
 
     identifier: int
     ttl: int
@@ -60,7 +60,7 @@
 
 
 class Store:
-    """Keys, leases and the history that watches read."""
+    """Keys, leases, and the history that watches read."""
 
     def __init__(self) -> None:
         # A fresh etcd is at revision 1 with no keys.
@@ -73,7 +73,7 @@
         self.listeners: set[collections.abc.Callable[[], None]] = set()
 
     def select(self, key: bytes, range_end: bytes = b"") -> list[Entry]:
-        """Return the entries of a key or of a range, in the keys' order."""
+        """Return the entries of a key or of a range, ordered by key."""
         if not range_end:
             entry = self.entries.get(key)
             return [entry] if entry else []
@@ -88,32 +88,32 @@
         self.apply([("put", key, value, lease)])
 
     def delete(self, key: bytes, range_end: bytes = b"") -> int:
-        """Delete a key or a range, and return how many keys went."""
+        """Delete a key or a range, and return the number of deleted keys."""
         return self.apply([("delete", key, range_end, 0)])[0]
 
     def apply(self, operations: list[tuple[str, bytes, bytes, int]]) -> list[int]:
         """Apply the writes of one request under one new revision.
 
-        :return: for each operation the number of keys that it touched.
+        :return: for each operation the number of keys that it affected.
         """
-        self._check(operations)
+        self._validate(operations)
         revision = self.revision + 1
-        touched = []
-        for kind, key, argument, lease in operations:
+        affected = []
+        for kind, key, operand, lease in operations:
             if kind == "put":
-                self._put(key, argument, lease, revision)
-                touched.append(1)
+                self._put(key, operand, lease, revision)
+                affected.append(1)
             else:
-                touched.append(self._delete(key, argument, revision))
-        if any(touched):
+                affected.append(self._delete(key, operand, revision))
+        if any(affected):
             self.revision = revision
             self._notify()
-        return touched
+        return affected
 
     def changes_since(self, revision: int) -> list[Change]:
         """Return the changes at ``revision`` and later.
 
-        :raises StoreError: if some of them have been compacted away.
+        :raises StoreError: if some of them have been compacted.
         """
         if revision <= self.compacted:
             raise StoreError(11, "mvcc: required revision has been compacted")
@@ -123,7 +123,7 @@
         return self.history[start:]
 
     def compact(self, revision: int = 0) -> None:
-        """Forget the history up to ``revision``, or all of it for 0."""
+        """Discard the history up to ``revision``, or all of it for 0."""
         self.compacted = max(self.compacted, revision or self.revision)
         self.history = [
             change for change in self.history if change.revision > self.compacted
@@ -141,7 +141,7 @@
         return lease
 
     def keep_alive(self, identifier: int, now: float) -> int:
-        """Renew a lease and return its time to live; 0 if there is none."""
+        """Renew a lease, and return its time to live; 0 for an unknown lease."""
         lease = self.leases.get(identifier)
         if lease is None:
             return 0
@@ -159,7 +159,7 @@
             self.apply([("delete", key, b"", 0) for key in sorted(keys)])
 
     def expire(self, now: float) -> list[int]:
-        """End the leases that have run out, and return them."""
+        """End the expired leases, and return their identifiers."""
         ended = [
             lease.identifier
             for lease in self.leases.values()
@@ -169,29 +169,29 @@
             self.revoke(identifier)
         return ended
 
-    def _check(self, operations: list[tuple[str, bytes, bytes, int]]) -> None:
-        for kind, key, argument, lease in operations:
+    def _validate(self, operations: list[tuple[str, bytes, bytes, int]]) -> None:
+        for kind, key, operand, lease in operations:
             if not key:
                 raise StoreError(3, "etcdserver: key is not provided")
-            if kind == "put" and len(argument) > MAX_VALUE_BYTES:
+            if kind == "put" and len(operand) > MAX_VALUE_BYTES:
                 raise StoreError(3, "etcdserver: request is too large")
             if kind == "put" and lease and lease not in self.leases:
                 raise StoreError(5, "etcdserver: requested lease not found")
 
     def _put(self, key: bytes, value: bytes, lease: int, revision: int) -> None:
-        known = self.entries.get(key)
-        created = known.create_revision if known else revision
-        version = known.version + 1 if known else 1
+        previous = self.entries.get(key)
+        created = previous.create_revision if previous else revision
+        version = previous.version + 1 if previous else 1
         entry = Entry(key, value, created, revision, version, lease)
         self.entries[key] = entry
         self.history.append(Change(revision, key, entry))
 
     def _delete(self, key: bytes, range_end: bytes, revision: int) -> int:
-        gone = self.select(key, range_end)
-        for entry in gone:
+        deleted = self.select(key, range_end)
+        for entry in deleted:
             del self.entries[entry.key]
             self.history.append(Change(revision, entry.key, None))
-        return len(gone)
+        return len(deleted)
 
     def _notify(self) -> None:
         for listener in list(self.listeners):
@@ -199,7 +199,7 @@
 
 
 def in_range(name: bytes, key: bytes, range_end: bytes) -> bool:
-    """Say whether a name lies in etcd's range; an end of NUL means no end."""
+    """Return whether a key is in an etcd range; a NUL as the end means no end."""
     if not range_end:
         return name == key
     return name >= key and (range_end == b"\0" or name < range_end)
--- a/standins/keyvalue_virtual.py
+++ b/standins/keyvalue_virtual.py
@@ -1,9 +1,9 @@
-"""The key-value stand-in without a network, under a clock that tests can spin.
+"""The key-value stand-in without a network, in virtual time.
 
-``VirtualLoop`` is an event loop whose time jumps to the next timer whenever
-nothing is ready, so an hour of outage passes in a moment and always in the same
-way. ``MemoryConnection`` takes the place of the client's HTTP connection and
-leads straight into a ``KeyValueService`` of the same loop.
+``VirtualLoop`` is an event loop whose clock advances to the next timer whenever
+nothing is ready, so that an hour of outage takes a moment and is deterministic.
+``MemoryConnection`` replaces the client's HTTP connection and calls a
+``KeyValueService`` in the same loop directly.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
 
 __all__ = ["MemoryConnection", "VirtualLoop"]
 
-KINDS = {path: kind for kind, path in PATHS.items()}
+KINDS_BY_PATH = {path: kind for kind, path in PATHS.items()}
 
 
-class JumpingSelector(selectors.DefaultSelector):
-    """A selector that never waits; it moves the clock on instead."""
+class VirtualTimeSelector(selectors.DefaultSelector):
+    """A selector that advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list:
-        """Return what is ready now; if nothing is, let ``timeout`` pass."""
+        """Return what is ready; if nothing is, advance the clock by ``timeout``."""
         ready = super().select(0)
         if not ready and timeout is None:
-            raise RuntimeError("nothing will ever happen in this loop")
+            raise RuntimeError("the event loop would wait forever: it has no timer")
         if not ready:
             self.now += timeout
         return ready
@@ -43,33 +43,33 @@
     """An event loop in virtual time, starting at 0."""
 
     def __init__(self) -> None:
-        self.jumping = JumpingSelector()
-        super().__init__(self.jumping)
+        self.time_selector = VirtualTimeSelector()
+        super().__init__(self.time_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self.jumping.now
+        return self.time_selector.now
 
 
 class MemoryConnection:
-    """A client's connection into a service of the same loop."""
+    """A client's connection to a service in the same event loop."""
 
     def __init__(self, service: KeyValueService, client_name: str) -> None:
         self.service = service
         self.client_name = client_name
-        # Calls go on in the service after the client has given up on them.
+        # The service goes on with a call after its client has given up.
         self.tasks: set[asyncio.Task] = set()
 
     async def call(self, path: str, body: bytes, timeout_seconds: float) -> bytes:
-        """Return the body of an answer."""
+        """Return the body of the response."""
         request = msgspec.json.decode(body)
-        answer = self.service.answer(KINDS[path], request, self.client_name)
-        task = asyncio.create_task(answer)
+        execution = self.service.execute(KINDS_BY_PATH[path], request, self.client_name)
+        task = asyncio.create_task(execution)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._finish_call)
         done, _ = await asyncio.wait({task}, timeout=timeout_seconds)
         if not done:
-            raise CallFailedError(f"{path}: no answer in time", True, True)
+            raise CallFailedError(f"{path}: no response in time", True, True)
         try:
             return msgspec.json.encode(task.result())
         except StoreError as error:
@@ -91,19 +91,19 @@
         task = asyncio.create_task(self.service.stream(queue.put, create))
         task.add_done_callback(lambda ended: queue.put_nowait(b""))
         try:
-            while piece := await queue.get():
-                yield piece
+            while message := await queue.get():
+                yield message
             if task.cancelled():
                 raise CallFailedError(f"{path}: connection closed", True)
         finally:
             task.cancel()
 
     async def close(self) -> None:
-        """End the calls that are still under way."""
+        """Cancel the pending calls."""
         for task in list(self.tasks):
             task.cancel()
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _finish_call(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled():
             task.exception()
