--- a/tools/soak_platform.py
+++ b/tools/soak_platform.py
@@ -17,7 +17,7 @@
 import click
 
 from cactuswalk.platform.keyvalue import KeyValueStore
-from features.platform_race import ACTS, run_race
+from features.platform_race import ACTIONS, run_race
 
 __all__ = ["main"]
 
@@ -28,7 +28,7 @@
 def draw(generator: random.Random) -> list[tuple[str, int]]:
     """Return the acts of one race."""
     length = generator.randint(1, LONGEST_RACE)
-    return [(generator.choice(ACTS), generator.randint(0, 2)) for _ in range(length)]
+    return [(generator.choice(ACTIONS), generator.randint(0, 2)) for _ in range(length)]
 
 
 @click.command()
