--- a/src/cactuswalk/runtime/dispatchagent.py
+++ b/src/cactuswalk/runtime/dispatchagent.py
@@ -80,11 +80,11 @@
             lambda *_: self.runtime.say("ignores SIGHUP: settings are read at start"),
         )
         self.runtime.add_store()
-        edge = AnnouncementHandler(
+        handler = AnnouncementHandler(
             self.settings.service, self.application.feed, self._log_unusable_heartbeat
         )
         self.runtime.add_http_service(
-            self.settings.announcements, edge.handle, self.listener
+            self.settings.announcements, handler.handle, self.listener
         )
         self.runtime.add_transport()
         self.runtime.add_http_service(
--- a/src/cactuswalk/runtime/operators.py
+++ b/src/cactuswalk/runtime/operators.py
@@ -73,7 +73,7 @@
             "waiting": len(state.pending),
             "configuration": {
                 "revision": replica.revision,
-                "objects": sum(bool(one.value) for one in replica.objects.values()),
+                "objects": sum(bool(item.value) for item in replica.objects.values()),
                 "nodes in force": _format_in_force(in_force(state, replica.revision)),
             },
             "cells": cells,
@@ -90,11 +90,11 @@
         finally:
             self.waiters.pop(request, None)
         verdicts = [
-            {"worker": one.worker, "fits": one.fits, "verdict": one.verdict}
+            {"worker": row.worker, "fits": row.fits, "verdict": row.verdict}
             for cell in cells
-            for one in cell.verdicts
+            for row in cell.verdicts
         ]
-        fitting = sum(one["fits"] for one in verdicts)
+        fitting = sum(row["fits"] for row in verdicts)
         summary = f"{fitting} of {len(verdicts)} workers could take it now."
         if not cells:
             summary = "No cell owner for this service has answered."
@@ -138,7 +138,7 @@
 
 def _format_shares(view) -> str:
     """Format the share of each service's slots that a cell holds for new keys."""
-    services = sorted({one.service for one in view.holdings})
+    services = sorted({holding.service for holding in view.holdings})
     shares = [
         f"{open_slots(view.holdings, service)}/{SLOT_COUNT} of {service}"
         for service in services
@@ -164,5 +164,5 @@
         query.get("service", "") or template.service,
         query.get("team", ""),
         [task],
-        selector=",".join(one for one in selectors if one),
+        selector=",".join(part for part in selectors if part),
     )
--- a/src/cactuswalk/runtime/transport.py
+++ b/src/cactuswalk/runtime/transport.py
@@ -79,6 +79,7 @@
         without an answer within half of it is replaced. 0 disables heartbeats: then
         messages on a silent connection are lost until the peer is restarted.
     :param clock: the clock that ``now`` arguments are read from.
+    :ivar dirty: addresses of peers with messages that wait to be sent.
     """
 
     def __init__(
--- a/src/cactuswalk/settings/dispatch.py
+++ b/src/cactuswalk/settings/dispatch.py
@@ -45,7 +45,7 @@
     """Settings that entries and agents have in common.
 
     :param messages: the address at which this process receives messages.
-    :param seeds: message addresses of some entries, to find the others.
+    :param seeds: message addresses of some entries, from which the others are found.
     :param grace_seconds: time that a planned stop may take.
     """
 
--- a/src/cactuswalk/settings/reader.py
+++ b/src/cactuswalk/settings/reader.py
@@ -58,6 +58,7 @@
     Records the sections and options that are read, so that unknown ones are reported.
 
     :param path: path of the settings file.
+    :ivar asked: the known options by section; None if a section may have any option.
     :raises InvalidSettingsError: if the file can't be parsed as INI.
     """
 
@@ -129,19 +130,19 @@
         """
         for section in self.parser.sections():
             if section not in self.asked:
-                remedy = _suggest(section, list(self.asked), "section")
+                remedy = _suggest_remedy(section, list(self.asked), "section")
                 self.add_mistake(section, "", "", "is not a known section", remedy)
                 continue
             keys = self.asked[section]
             if keys is not None:
-                self._note_unknown_keys(section, keys)
+                self._add_unknown_options(section, keys)
         if self.mistakes:
             raise InvalidSettingsError(self.path, self.mistakes)
 
-    def _note_unknown_keys(self, section: str, keys: set[str]) -> None:
+    def _add_unknown_options(self, section: str, keys: set[str]) -> None:
         for key in self.parser.options(section):
             if key not in keys:
-                remedy = _suggest(key, sorted(keys), "option")
+                remedy = _suggest_remedy(key, sorted(keys), "option")
                 self.add_mistake(section, key, "", "is not a known option", remedy)
 
     def _parse(self) -> configparser.ConfigParser:
@@ -195,7 +196,7 @@
     return parser
 
 
-def _suggest(name: str, known: list[str], kind: str) -> str:
+def _suggest_remedy(name: str, known: list[str], kind: str) -> str:
     close = difflib.get_close_matches(name, known, n=1)
     if close:
         return f"Did you mean '{close[0]}'? Otherwise remove the {kind}."
