--- a/src/cactuswalk/decisions/lazyheap.py
+++ b/src/cactuswalk/decisions/lazyheap.py
@@ -18,7 +18,7 @@
 
     A key that has grown is noticed when its member reaches the top. After a key has
     shrunk, the caller has to push the member again; until then the member is only
-    further back than it could be.
+    further back than it could be. ``held`` counts the heap entries of each member.
 
     :param key: returns a member's current key, None if the member has nothing left.
     """
--- a/src/cactuswalk/decisions/leaving.py
+++ b/src/cactuswalk/decisions/leaving.py
@@ -26,7 +26,12 @@
 
 
 class EntryShutdown:
-    """The readiness checks and submissions seen by an entry that may shut down."""
+    """The readiness checks and submissions seen by an entry that may shut down.
+
+    ``asked_at`` is the last readiness check, ``told_at`` the first one after the stop
+    began, ``taken_at`` the last submission, and ``times_ready`` the number of positive
+    answers.
+    """
 
     __slots__ = ("began_at", "asked_at", "told_at", "taken_at", "times_ready")
 
