--- a/features/support/centreload.py
+++ b/features/support/centreload.py
@@ -1,4 +1,4 @@
-"""Steady load on the data centres of a fleet on the virtual clock."""
+"""Constant load on the data centres of a simulated fleet."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 
 
 def play(context, centres, rate, seconds):
-    """Hand jobs in at a steady pace, at the living entries of data centres by turns."""
+    """Submit jobs at a constant rate to the living entries of data centres in turn."""
     fleet = context.fleet
     context.sent_before = Counter(fleet.sent)
     context.seconds = seconds
@@ -37,7 +37,7 @@
 
 
 def room(fleet, centre):
-    """Return the room of a data centre's workers, less what no task fits into."""
+    """Return a data centre's processor capacity that whole tasks can use."""
     return sum(
         worker.cpu // TASK_CPU * TASK_CPU
         for worker in fleet.workers.values()
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -1,7 +1,7 @@
-"""Entries, agents and workers on a virtual clock, with a network that can fail.
+"""Simulation of entries, agents and workers on a virtual clock and a faulty network.
 
-It connects the real reducers by a heap of timed events; it judges what a caller
-and a worker would see, above all whether two runs of a task overlap.
+It connects the real reducers by a heap of timed events and records what callers and
+workers would observe, above all whether two runs of a task overlap.
 """
 
 import collections
@@ -63,7 +63,7 @@
 
 SERVICE = "plans"
 
-# The job of the scenarios that have one only.
+# The job of scenarios that have only one.
 JOB = "00000000000000aa"
 
 
@@ -74,7 +74,7 @@
 
 
 class Run:
-    """A run at a worker."""
+    """A run of a task at a worker."""
 
     def __init__(self, key, run, began, seconds, fails):
         self.key = key
@@ -87,12 +87,12 @@
         self.slow_factor = 1.0
 
     def slow_down(self, now, factor):
-        """Do the rest so many times slower."""
+        """Make the rest of the run slower by a factor."""
         self.slow_at, self.slow_factor = now, factor
         self.ends_at = now + (self.ends_at - now) * factor
 
     def percent(self, now):
-        """Return how much of it is done."""
+        """Return the progress in percent."""
         worked = now - self.began
         if self.slow_at is not None:
             worked = self.slow_at - self.began + (now - self.slow_at) / self.slow_factor
@@ -100,15 +100,16 @@
 
 
 class SimulatedWorker:
-    """A worker with a lease on what it runs, and faults that can be switched on.
+    """A worker whose runs need a lease, with faults that can be enabled.
 
-    :ivar pace: run times are so many times longer.
+    :ivar cut: no call reaches it.
+    :ivar pace: factor by which run times are longer.
     :ivar fails: every run fails within a millisecond.
-    :ivar stalls: runs make no progress.
-    :ivar deaf: share of calls without an answer; ``late`` ones are carried out
-        that many seconds later, others never.
-    :ivar mute: share of starts and stops that are carried out without an answer.
-    :ivar loses: types of calls that are all treated as ``deaf`` says.
+    :ivar stalls: runs never end.
+    :ivar unanswered_share: share of calls that are lost and get no answer.
+    :ivar late: seconds after which lost calls are executed all the same; 0 for never.
+    :ivar unconfirmed_share: share of calls that are executed but get no answer.
+    :ivar dropped_calls: types of calls that are all lost.
     """
 
     def __init__(self, fleet, name, cpu, data_centre, generator):
@@ -166,7 +167,7 @@
         self.reset()
 
     def advance(self, now):
-        """Let the runs end that have ended by now, or whose lease has."""
+        """End the runs that are complete by now, or whose lease has expired."""
         for run in sorted(self.runs.values(), key=lambda run: run.ends_at):
             end = min(run.ends_at, self.lease_until)
             if end <= now:
@@ -241,7 +242,15 @@
 
 
 class Fleet:
-    """The processes, their clock, and what has been seen of them."""
+    """The processes, their clock, and the record of what they did.
+
+    :ivar cuts: links that lose all messages, as pairs of sender and receiver.
+    :ivar starts: time, task, run number and worker of each run.
+    :ivar overlaps: time and task of each run that began while another one was live.
+    :ivar overloads: number of starts that exceeded a worker's capacity.
+    :ivar answers: time and effect of each answer, by waiter.
+    :ivar arrivals: time, queue, run time and job of each submission, by waiter.
+    """
 
     def __init__(
         self,
@@ -263,8 +272,8 @@
         self.dead = set()
         self.frozen = {}
         self.cuts = set()
-        # Connections keep the order of messages; the random days do without, as one
-        # that breaks and comes back may.
+        # A connection keeps messages in order. Random days don't rely on that, since a
+        # connection that is broken and restored may not.
         self.in_order = False
         self.last_arrival = {}
         self.lives = itertools.count(1)
@@ -278,14 +287,14 @@
         self.arrivals = {}
         self.waiter = itertools.count(1)
         self.entry_names = [f"e{number}" for number in range(entries)]
-        # What the settings name, and what the store lists.
+        # Entries named in the settings, and entries listed by the store.
         self.seeds = seeds or self.entry_names
         self.listed_names = self.entry_names
-        # What the store holds of evacuations, and the entries that can't reach it.
+        # Evacuations in the store, and the entries that can't reach the store.
         self.evacuated = set()
         self.store_revision = 1
         self.cut_from_store = set()
-        # Messages by sender and type.
+        # Number of messages by sender and type.
         self.sent = collections.Counter()
         self.workers = {}
         for number, name in enumerate(self.entry_names):
@@ -313,7 +322,7 @@
             self.read_store(name)
 
     def evacuate(self, centre):
-        """Have a data centre evacuated; entries that reach the store learn of it."""
+        """Evacuate a data centre; entries that can reach the store learn of it."""
         self.evacuated.add(centre)
         self.write_store()
 
@@ -327,7 +336,7 @@
             self.read_store(name)
 
     def read_store(self, name):
-        """Have an entry read the store, if it can, as it is now."""
+        """Have an entry read the current state of the store, if it can reach it."""
         if name in self.cut_from_store:
             return
         known = Evacuations(self.store_revision, tuple(sorted(self.evacuated)))
@@ -359,7 +368,7 @@
         self.at(0.0, lambda: self.tick(name, state))
 
     def living(self):
-        """Return the names of the entries that are up."""
+        """Return the names of the entries that have not been killed."""
         return [name for name in self.entry_names if name not in self.dead]
 
     def centre_names(self):
@@ -369,7 +378,7 @@
         self.dead.add(name)
 
     def freeze(self, name, seconds):
-        """Stop a process; what comes meanwhile is handled when it wakes."""
+        """Pause a process; events are queued until it resumes."""
         self.frozen[name] = self.now + seconds
 
     def tick(self, name, state):
@@ -387,7 +396,7 @@
             self.at(0.1, lambda: self.heartbeat(name))
 
     def announce(self, name):
-        """Have a worker send a heartbeat at once."""
+        """Make a worker send a heartbeat now."""
         self.deliver(name, Announced(self.workers[name].announcement()))
 
     # Time.
@@ -524,7 +533,7 @@
             lambda: self.wait_for_end(name, state, worker, effect, sent_at, deadline),
         )
 
-    # What is seen.
+    # Records.
 
     def size_of(self, key):
         return self.sizes[key.job]
@@ -556,7 +565,7 @@
         queue_name=None,
         estimate=None,
     ):
-        """Hand a job in; return the waiter whose answer will be in ``answers``."""
+        """Submit a job; return the waiter that is its key in ``answers``."""
         waiter = next(self.waiter)
         self.sizes[identifier] = (cpu, seconds)
         estimate_ms = int((estimate or seconds) * 1000)
@@ -584,7 +593,7 @@
         return self.answers[waiter][0] - self.arrivals[waiter][0]
 
     def is_on_time(self, waiter):
-        """Return whether a job was done within its aim, by its true run time."""
+        """Return whether a job was completed in time for its true run time."""
         if waiter not in self.answers or self.verdict(waiter) != "completed":
             return False
         _, chosen, seconds, _ = self.arrivals[waiter]
--- a/features/support/fleetload.py
+++ b/features/support/fleetload.py
@@ -1,4 +1,4 @@
-"""The users' three kinds of job, coming to a fleet at some times their usual rate."""
+"""The users' three kinds of job, arriving at a multiple of their usual rate."""
 
 import random
 
@@ -6,20 +6,20 @@
 
 __all__ = ["KINDS", "SEED", "WORTH", "Load", "users_fleet"]
 
-# Rate a second, tasks and seconds of the users' kinds, at their usual load.
+# By kind, at the usual load: jobs per second, tasks per job, seconds per task.
 KINDS = {
     "lookups": (17.2, 8, 0.12),
     "rebuilds": (3.12, 4, 1.8),
     "checks": (50.0, 2, 0.4),
 }
-# What a job of each kind is worth to its caller (the users' figures).
+# Worth of a job of each kind to its caller (the users' figures).
 WORTH = {"lookups": 0.0291, "rebuilds": 0.16, "checks": 0.01}
 PACES = (0.8, 1.0, 1.25)
 SEED = 3
 
 
 def users_fleet(seed=SEED):
-    """Return four entries and eleven workers of three speeds, two sizes."""
+    """Return four entries and eleven workers of three speeds and two sizes."""
     queues = [queue("lookups", 0), queue("rebuilds", 2, 2), queue("checks", 1)]
     fleet = Fleet(4, 11, seed, queues=queues)
     fleet.in_order = True
@@ -33,7 +33,7 @@
     """Poisson arrivals of the three kinds, for some seconds.
 
     :ivar by_kind: the waiters of each kind's jobs.
-    :ivar jobs: of each job, when it came, its kind, tasks, cpu and seconds.
+    :ivar jobs: arrival time, kind, tasks, cpu and seconds of each job.
     """
 
     def __init__(self, fleet, rate, seconds, seed=SEED):
@@ -48,14 +48,14 @@
             self.next_arrival(name)
 
     def counts(self):
-        """Return, by kind, how many jobs were done within their aim, of how many."""
+        """Return the numbers of jobs on time and of all jobs, by kind."""
         return {
             name: (sum(map(self.fleet.is_on_time, waiters)), len(waiters))
             for name, waiters in self.by_kind.items()
         }
 
     def shares(self):
-        """Return the share of each kind that was done within its aim."""
+        """Return the share of jobs that were on time, by kind."""
         return {name: done / came for name, (done, came) in self.counts().items()}
 
     def next_arrival(self, name):
--- a/features/support/fleetscript.py
+++ b/features/support/fleetscript.py
@@ -1,4 +1,4 @@
-"""Random days of a fleet: jobs come all the time, and everything can fail."""
+"""Random days of a fleet: jobs arrive all the time while random faults occur."""
 
 import random
 
@@ -13,9 +13,10 @@
 
 
 class RandomDay:
-    """Plays one seed.
+    """A run of the fleet with jobs and faults drawn from one seed.
 
-    :ivar unanswered: jobs whose caller was connected all the time and got nothing.
+    :ivar calls: waiter, entry, job, tasks, seconds and whether the caller is connected.
+    :ivar unanswered: jobs whose caller stayed connected and got no answer.
     :ivar false_refusals: jobs that were refused as not run although a task had run.
     """
 
@@ -217,7 +218,7 @@
                 self.false_refusals.append(identifier)
 
     def is_broken(self):
-        """Return whether the day has broken a promise."""
+        """Return whether the day has violated a guarantee."""
         fleet = self.fleet
         return bool(
             fleet.overlaps or fleet.overloads or self.unanswered or self.false_refusals
--- a/features/support/shiftedload.py
+++ b/features/support/shiftedload.py
@@ -1,4 +1,4 @@
-"""Glenmorrow's work as it is now: more long jobs, waves, workers of two sizes."""
+"""Glenmorrow's current load: more long jobs, waves, and workers of two sizes."""
 
 import math
 import random
@@ -7,13 +7,13 @@
 
 __all__ = ["KINDS", "WORTH", "WaveLoad", "wave_fleet"]
 
-# Rate a second for 18 workers, tasks and seconds of the users' kinds.
+# By kind, for 18 workers: jobs per second, tasks per job, seconds per task.
 KINDS = {
     "lookups": (27.8, 8, 0.12),
     "rebuilds": (11.0, 4, 1.8),
     "checks": (81.0, 2, 0.4),
 }
-# What a job of each kind is worth to its caller in time, and late (the users' figures).
+# Worth of a job of each kind to its caller, on time and late (the users' figures).
 WORTH = {
     "lookups": (0.00485, 0.00097),
     "rebuilds": (0.0267, 0.00533),
@@ -27,7 +27,7 @@
 SWING = 0.27
 PERIOD_SECONDS = 11.0
 PHASES = (0.94, 0.26, 0.2)
-# Late is up to three times the aim.
+# A job is late, rather than worthless, up to this multiple of its time limit.
 LATE_FACTOR = 3.0
 
 
@@ -64,7 +64,7 @@
                 self.next_arrival(name, centre)
 
     def next_arrival(self, name, centre):
-        """Draw from the highest rate there is; some arrivals are left out then."""
+        """Schedule an arrival at the peak rate, which ``arrive`` thins out."""
         peak = KINDS[name][0] / CENTRES * self.rate * (1 + SWING)
         gap = self.generator.expovariate(peak)
         self.fleet.at(gap, lambda: self.arrive(name, centre))
@@ -98,7 +98,7 @@
         self.by_kind[name].append((waiter, tasks * seconds / width / mean))
 
     def earned(self):
-        """Return the worth earned and owed by kind, with what came late."""
+        """Return the earned and the possible worth, by kind; late jobs count."""
         table = {}
         for name, waiters in self.by_kind.items():
             earned = owed = 0.0
