--- a/features/steps/dispatch_lines_steps.py
+++ b/features/steps/dispatch_lines_steps.py
@@ -27,7 +27,7 @@
 
     def __init__(self, seed):
         self.ends = []
-        self.lives = set()
+        self.incarnations = set()
         finish, start = SimulatedWorker.finish, SimulatedWorker.start
 
         def note_end(worker, run, how, at):
@@ -35,7 +35,7 @@
             finish(worker, run, how, at)
 
         def note_start(worker, effect, sent_at, now):
-            self.lives.add(worker.identifier)
+            self.incarnations.add(worker.identifier)
             return start(worker, effect, sent_at, now)
 
         with (
@@ -98,7 +98,7 @@
         fields
         for observed in context.days
         for _, sentence, fields in observed.said
-        if sentence == "a job is answered" and fields["reason"] == "no room in time"
+        if sentence == "a job is answered" and fields["reason"] == "no capacity in time"
     ]
     assert len(refused) > 20, len(refused)
     names = {"open_workers", "free_cpu", "most_free_cpu", "oldest_report"}
@@ -139,7 +139,7 @@
             for _, sentence, fields in observed.said
             if sentence == "found a worker"
         }
-        assert observed.lives <= met, observed.lives - met
+        assert observed.incarnations <= met, observed.incarnations - met
 
 
 @then("each entry has a log line about the new configuration")
--- a/features/steps/dispatch_measures_steps.py
+++ b/features/steps/dispatch_measures_steps.py
@@ -53,7 +53,8 @@
     lines = [
         answered | {"took": 1.2, "lost": 1, "last_run": 2},
         answered | {"took": 0.9, "last_ran": 0.8},
-        answered | {"verdict": "not_run", "reason": "no room in time", "workers": 0},
+        answered
+        | {"verdict": "not_run", "reason": "no capacity in time", "workers": 0},
     ]
     texts = [f"   4.5000 front-1 {json.dumps(line)}" for line in lines]
     context.directory = tempfile.TemporaryDirectory()
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -276,7 +276,7 @@
         # connection that is broken and restored may not.
         self.in_order = False
         self.last_arrival = {}
-        self.lives = itertools.count(1)
+        self.incarnations = itertools.count(1)
         self.sizes = {}
         self.live_runs = {}
         self.overlaps = []
@@ -309,7 +309,7 @@
         self.dead.discard(name)
         state = EntryState(
             name,
-            f"l{next(self.lives)}",
+            f"l{next(self.incarnations)}",
             data_centre,
             list(self.seeds),
             1.5,
@@ -356,7 +356,7 @@
     def start_agent(self, name):
         self.dead.discard(name)
         state = AgentState(
-            f"l{next(self.lives)}",
+            f"l{next(self.incarnations)}",
             int(self.now * 1000) + 1,
             list(self.seeds),
             name,
--- a/src/cactuswalk/dispatch/agentview.py
+++ b/src/cactuswalk/dispatch/agentview.py
@@ -71,7 +71,7 @@
 
     def update_report(self, report: Report, now: float) -> bool:
         """Replace the report by a newer one; return whether more tasks may fit now."""
-        room, was_open = self.free_resources(), self.is_open(now)
+        free, was_open = self.free_resources(), self.is_open(now)
         worker = self.report.worker
         self.report = report
         self.heard_at = now
@@ -79,7 +79,7 @@
         self._recompute_free()
         if not self.is_open(now):
             return False
-        has_more = any(map(operator.gt, self.free_resources(), room))
+        has_more = any(map(operator.gt, self.free_resources(), free))
         return has_more or not was_open or report.worker != worker
 
     def is_out_of_date(self, report: Report, now: float) -> bool:
--- a/src/cactuswalk/dispatch/entry.py
+++ b/src/cactuswalk/dispatch/entry.py
@@ -98,7 +98,7 @@
         if state.stop_at and now > state.stop_at - STOP_MARGIN_SECONDS:
             verdict = JobAction.GIVE_UP if job.has_started else JobAction.REFUSE
         if verdict is JobAction.REFUSE:
-            answer_job(state, job, JobVerdict.NOT_RUN, "no room in time", now)
+            answer_job(state, job, JobVerdict.NOT_RUN, "no capacity in time", now)
         elif verdict is JobAction.GIVE_UP:
             answer_job(state, job, JobVerdict.UNFINISHED, "out of time", now)
 
--- a/src/cactuswalk/dispatch/membership.py
+++ b/src/cactuswalk/dispatch/membership.py
@@ -1,4 +1,4 @@
-"""The choice of the entries that an agent works with, and is told of.
+"""The choice of the entries that an agent works with, or may choose from.
 
 Load pattern: with hundreds of hosts, each pair of entry and agent that exchanges
 reports costs both of them processor time, busy or idle, and the number of pairs grows
