--- a/src/cactuswalk/dispatch/agententries.py
+++ b/src/cactuswalk/dispatch/agententries.py
@@ -104,7 +104,10 @@
 
 
 def _decline_reason(state: AgentState, start: Start, now: float) -> str:
-    """Return why a start is declined, or an empty string if it is accepted."""
+    """Return why a start is declined, or an empty string if it is accepted.
+
+    The reason is sent to the entry, and is a label of the metric of declined starts.
+    """
     if start.agent_incarnation != state.incarnation:
         return "meant for an earlier life of this agent"
     if _milliseconds(now) - start.stamp > ENTRY_LEASE_SECONDS * 1000:
--- a/src/cactuswalk/dispatch/agentheld.py
+++ b/src/cactuswalk/dispatch/agentheld.py
@@ -15,7 +15,7 @@
     """State of an accepted start.
 
     UNCONFIRMED: the worker didn't answer the start; the task may run now or later.
-    STOPPING: a stop was decided; the task may still run.
+    STOPPING: a stop is requested or due; the task may still run.
     """
 
     STARTING = "starting"
--- a/src/cactuswalk/dispatch/soundness.py
+++ b/src/cactuswalk/dispatch/soundness.py
@@ -32,7 +32,8 @@
 # in a row are rarely a coincidence.
 FAILURES_BEFORE_TRIAL = 3
 
-# Interval between tasks for a worker on trial; long, so that few tasks are at risk.
+# Minimum interval between tasks for a worker on trial or a slow one; long, so that few
+# tasks are at risk.
 TRIAL_SECONDS = 0.5
 
 # Consecutive successes that end a trial.
