--- a/src/cactuswalk/platform/callers.py
+++ b/src/cactuswalk/platform/callers.py
@@ -103,7 +103,7 @@
         if request.method == "DELETE" and self.backend.cancel(job_id):
             return json_response(200, {})
         if request.method in ("GET", "DELETE"):
-            return error_response(410, "no_such_job", "the job is unknown or has ended")
+            return error_response(410, "no_such_job", "no such job is stored")
         return error_response(405, "method", "only GET, POST and DELETE are allowed")
 
     async def _submit(
