--- a/features/callers_support.py
+++ b/features/callers_support.py
@@ -64,11 +64,11 @@
     entry = context.entry = FakeEntry()
     callables = EntryCallables(
         submit=entry.submit,
-        gone=entry.gone.append,
+        caller_gone=entry.gone.append,
         cancel=entry.cancelled.append,
         query=entry.query,
         not_ready=list,
-        template=entry.templates.get,
+        find_template=entry.templates.get,
     )
     application = make_callers_application(
         settings, callables, lambda: NOW, random.Random(1)
--- a/features/configuration_fakes.py
+++ b/features/configuration_fakes.py
@@ -3,9 +3,9 @@
 import types
 import typing
 
-from cactuswalk.http.operators_changes import Changes
-from cactuswalk.http.operators_errors import ServiceAwayError
-from cactuswalk.http.operators_store import ConfigurationKeys, Follower
+from cactuswalk.http.operators_changes import ChangeWriter
+from cactuswalk.http.operators_errors import ServiceUnavailableError
+from cactuswalk.http.operators_store import ConfigurationFollower, ConfigurationKeys
 from cactuswalk.messages import (
     ConfigurationOffer,
     ConfigurationRequest,
@@ -72,7 +72,7 @@
     async def list(self, prefix):
         await pause()
         if self.away:
-            raise ServiceAwayError("no answer", "Wait.")
+            raise ServiceUnavailableError("no answer", "Wait.")
         return self.revision, self.entries(prefix)
 
     def put(self, key, value):
@@ -170,7 +170,7 @@
                 owner.agents.append(agent.name)
         self.keys = ConfigurationKeys(self.service)
         self.changes = [
-            Changes(self.keys, entry.replica, self.publisher(entry))
+            ChangeWriter(self.keys, entry.replica, self.publisher(entry))
             for entry in self.entries
         ]
 
@@ -202,10 +202,10 @@
 
     def list(self, entry, snapshot=None):
         """Let an entry read all, as it does when its watch is new."""
-        follower = Follower(self.keys)
+        follower = ConfigurationFollower(self.keys)
         revision, listed = snapshot or self.snapshot()
         self.followers[entry.name] = [follower, revision]
-        self.publisher(entry)(follower.take(FakeChanges(True, listed)))
+        self.publisher(entry)(follower.make_update(FakeChanges(True, listed)))
 
     def snapshot(self):
         return self.service.revision, self.service.entries(self.keys.prefix)
@@ -225,7 +225,7 @@
         ][:events]
         if news:
             self.followers[entry.name][1] = news[-1].mod_revision
-            self.publisher(entry)(follower.take(FakeChanges(False, news)))
+            self.publisher(entry)(follower.make_update(FakeChanges(False, news)))
 
     def restart(self, node):
         """Replace a process by a new one with an empty memory."""
@@ -233,7 +233,9 @@
         self.followers.pop(node.name, None)
         if node in self.entries:
             index = self.entries.index(node)
-            self.changes[index] = Changes(self.keys, node.replica, self.publisher(node))
+            self.changes[index] = ChangeWriter(
+                self.keys, node.replica, self.publisher(node)
+            )
 
     def settle(self, rounds=8):
         """Let pings and reports flow without loss until nothing is new."""
--- a/features/steps/announcement_steps.py
+++ b/features/steps/announcement_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import given as for_all, settings as hypothesis_settings, strategies
 
 from cactuswalk.http import UpstreamClient, make_announce_application
-from cactuswalk.http.announcements import EXPIRE_SECONDS
+from cactuswalk.http.announcements import ANNOUNCEMENT_TTL_SECONDS
 from cactuswalk.model import TaskSpec
 from cactuswalk.settings import load_agent
 from cactuswalk.state.effects import CallUpstream
@@ -29,7 +29,7 @@
 
 
 @given("an agent's announcement application")
-def step_application(context, expire_seconds=EXPIRE_SECONDS):
+def step_application(context, ttl_seconds=ANNOUNCEMENT_TTL_SECONDS):
     context.announced, context.reported, context.reasons = [], [], []
 
     def on_event(event):
@@ -43,7 +43,7 @@
         context.upstream_client,
         on_event,
         lambda: context.reasons,
-        expire_seconds,
+        ttl_seconds,
     )
     context.agent_url = f"http://127.0.0.1:{serve(context, application)}"
     add_clean_up(context, lambda: run(context, context.upstream_client.close()))
--- a/features/steps/configuration_service_steps.py
+++ b/features/steps/configuration_service_steps.py
@@ -6,9 +6,9 @@
 from behave import given, then, when
 
 from cactuswalk.errors import CactuswalkError
-from cactuswalk.http.operators_changes import ChangeRequest, Changes
+from cactuswalk.http.operators_changes import ChangeRequest, ChangeWriter
 from cactuswalk.http.operators_errors import ConflictError
-from cactuswalk.http.operators_store import ConfigurationKeys, follow
+from cactuswalk.http.operators_store import ConfigurationKeys, follow_configuration
 from cactuswalk.model.configuration import WorkerEntry
 from cactuswalk.state.configuration import Replica, Spread
 from features.platform_world import memory_store
@@ -24,9 +24,11 @@
         self.keys = ConfigurationKeys(self.store)
         self.replica = Replica()
         self.spread = Spread(self.replica)
-        self.changes = Changes(self.keys, self.replica, self.publish)
+        self.changes = ChangeWriter(self.keys, self.replica, self.publish)
         self.published = asyncio.Event()
-        self.following = asyncio.create_task(follow(self.keys, self.publish))
+        self.following = asyncio.create_task(
+            follow_configuration(self.keys, self.publish)
+        )
 
     def publish(self, update):
         self.spread.updated("", update, 0.0)
@@ -41,7 +43,7 @@
             lambda before: after,
         )
         try:
-            return await self.changes.make(request)
+            return await self.changes.apply(request)
         except CactuswalkError as error:
             return error
 
--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -12,7 +12,7 @@
 from cactuswalk.http.operators_errors import (
     ConflictError,
     OutcomeUnknownError,
-    ServiceAwayError,
+    ServiceUnavailableError,
 )
 from cactuswalk.messages import (
     ConfigurationOffer,
@@ -79,7 +79,7 @@
             *(f"worker/{name}", expected, f"id{number}", f"operator{index}"),
             *(number, "replace", make),
         )
-        coroutine = self.cluster.changes[index].make(request)
+        coroutine = self.cluster.changes[index].apply(request)
         self.pending.append((entry, request, coroutine))
 
     def step(self, first, second):
@@ -95,7 +95,7 @@
         except StopIteration as done:
             if done.value.written:
                 self.accepted.append(done.value)
-        except (ConflictError, ServiceAwayError):
+        except (ConflictError, ServiceUnavailableError):
             self.refused.append(request.write_id)
         except OutcomeUnknownError:
             pass
@@ -272,7 +272,7 @@
 def step_cluster(context):
     context.cluster = Cluster()
     context.make = functools.partial(
-        lambda cluster, entry, request: outcome(cluster.changes[entry].make(request)),
+        lambda cluster, entry, request: outcome(cluster.changes[entry].apply(request)),
         context.cluster,
     )
     context.first = context.make(0, request_of(1, 0))
@@ -338,7 +338,7 @@
 def step_lost_reply(context):
     service = context.cluster.service
     service.lose_reply = True
-    coroutine = context.cluster.changes[0].make(request_of(2, 1))
+    coroutine = context.cluster.changes[0].apply(request_of(2, 1))
     for _ in range(4):
         coroutine.send(None)
     service.away = True
@@ -361,8 +361,8 @@
 @when("two operators change it on the same revision")
 def step_two(context):
     changes = context.cluster.changes
-    first = changes[0].make(request_of(2, 1, "ana"))
-    second = changes[1].make(request_of(3, 1, "ion"))
+    first = changes[0].apply(request_of(2, 1, "ana"))
+    second = changes[1].apply(request_of(3, 1, "ion"))
     for _ in range(3):
         first.send(None)
         second.send(None)
--- a/features/steps/configuration_workers_steps.py
+++ b/features/steps/configuration_workers_steps.py
@@ -77,7 +77,7 @@
         request = ChangeRequest(
             *("service/s", 0, "id1", "ana", 1, "replace"), lambda before: wanted
         )
-        drive(cluster.changes[0].make(request))
+        drive(cluster.changes[0].apply(request))
         cluster.settle(rounds=2)
         found = cluster.nodes["agent0.0"].replica.get("service", "s")
         assert (found.labels, found.selector) == (labels, selector)
--- a/features/steps/once_cells_steps.py
+++ b/features/steps/once_cells_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from cactuswalk.errors import CactuswalkError
-from cactuswalk.http.operators_cells import CellsDesk
+from cactuswalk.http.operators_cells import CellRetirement
 from cactuswalk.messages import Ceded
 from cactuswalk.model import Outcome
 from cactuswalk.model.cell import cell_key
@@ -364,15 +364,15 @@
             for one in bag.starts()
         )
     ]
-    desk = CellsDesk(
+    retirement = CellRetirement(
         BagStore(bag), lambda cell: False, lambda: int(WALL_MS + bag.now * 1000)
     )
-    refused = tell_refusal(desk.retire(SECOND, CELL, False))
+    refused = tell_refusal(retirement.retire(SECOND, CELL, False))
     assert refused == "usage", refused
-    done = [asyncio.run(desk.retire(SECOND, CELL, True)) for _ in range(2)]
+    done = [asyncio.run(retirement.retire(SECOND, CELL, True)) for _ in range(2)]
     assert [one["written"] for one in done] == [True, False]
-    desk.is_heard = lambda cell: True
-    assert tell_refusal(desk.retire(SECOND, CELL, True)) == "cell_alive"
+    retirement.is_heard = lambda cell: True
+    assert tell_refusal(retirement.retire(SECOND, CELL, True)) == "cell_alive"
     tell_records(bag, "entry-1")
     bag.run(10.0)
 
--- a/src/cactuswalk/http/announcements.py
+++ b/src/cactuswalk/http/announcements.py
@@ -22,7 +22,7 @@
 # sent to it: the rest is left for the word to reach the owner. A renewal costs
 # about 0.3 ms of processor time at both ends, on the loopback.
 RENEW_MS = 500
-EXPIRE_SECONDS = 1.75
+ANNOUNCEMENT_TTL_SECONDS = 1.75
 
 # An announcement is a few hundred bytes.
 MAXIMUM_ANNOUNCE_BYTES = 64 << 10
@@ -82,9 +82,9 @@
         settings: AgentSettings,
         client: UpstreamClient,
         on_event: Callable[[Announced], None],
-        expire_seconds: float,
+        ttl_seconds: float,
     ) -> None:
-        self.expire_seconds = expire_seconds
+        self.ttl_seconds = ttl_seconds
         self.settings = settings
         self.client = client
         self.on_event = on_event
@@ -97,7 +97,7 @@
         """Take an announcement or its renewal."""
         self.stop_expiry()
         loop = asyncio.get_running_loop()
-        self.expiry = loop.call_later(self.expire_seconds, self.withdraw)
+        self.expiry = loop.call_later(self.ttl_seconds, self.withdraw)
         if body == self.body:
             return
         self.body = body
@@ -147,16 +147,16 @@
     client: UpstreamClient,
     on_event: Callable[[Announced | UsageReported], None],
     not_ready: Callable[[], list[str]],
-    expire_seconds: float = EXPIRE_SECONDS,
+    ttl_seconds: float = ANNOUNCEMENT_TTL_SECONDS,
 ) -> web.Application:
     """Return the HTTP application of an agent.
 
     :param client: is told where the upstream takes tasks.
     :param on_event: called in the loop with each ``Announced`` and ``UsageReported``.
     :param not_ready: the reasons why this agent is not ready; none if it is.
-    :param expire_seconds: without a renewal, until the upstream is gone.
+    :param ttl_seconds: without a renewal, until the upstream is gone.
     """
-    presence = UpstreamPresence(settings, client, on_event, expire_seconds)
+    presence = UpstreamPresence(settings, client, on_event, ttl_seconds)
     decoder = msgspec.json.Decoder(AnnounceBody)
     usage_decoder = msgspec.json.Decoder(UsageBody)
 
--- a/src/cactuswalk/http/callers.py
+++ b/src/cactuswalk/http/callers.py
@@ -56,22 +56,22 @@
 
     :param submit: hands a job in and waits for its one reply; cancelled where
         nobody waits any more.
-    :param gone: tells that nobody waits at a waiter now.
+    :param caller_gone: tells that nobody waits at a waiter now.
     :param cancel: stops a submission.
     :param query: asks where a submission stands, at the owner of a service or,
         for an empty one, at all; None if no owner has answered.
     :param not_ready: reasons why this entry is not ready; none if it is.
     :param count: adds one to a counter.
-    :param template: finds a job template that is in force here.
+    :param find_template: finds a job template that is in force here.
     """
 
     submit: Callable[[CallerSubmitted], Awaitable[Reply]]
-    gone: Callable[[CallerGone], None]
+    caller_gone: Callable[[CallerGone], None]
     cancel: Callable[[CallerCancelled], None]
     query: Callable[[str, str], Awaitable[JobState | None]]
     not_ready: Callable[[], list[str]]
     count: Callable[[str], None] = lambda name: None
-    template: FindTemplate = lambda name: None
+    find_template: FindTemplate = lambda name: None
 
 
 class CallersEdge:
@@ -183,7 +183,7 @@
         limits = self.settings.limits
         now_ms = int(self.wall_clock() * 1000)
         key = read_key(request, now_ms, self.settings.retention_seconds)
-        template = read_template(request, service, self.entry.template)
+        template = read_template(request, service, self.entry.find_template)
         default_ms = limits.default_deadline_ms
         if template is not None and template.deadline_ms:
             default_ms = min(template.deadline_ms, limits.maximum_deadline_ms)
@@ -236,7 +236,7 @@
         except asyncio.CancelledError:
             # The caller has closed its connection; without this word its work
             # would go on and hold a slot for nobody.
-            self.entry.gone(CallerGone(event.waiter))
+            self.entry.caller_gone(CallerGone(event.waiter))
             raise
         finally:
             self.waiting -= 1
--- a/src/cactuswalk/http/operators.py
+++ b/src/cactuswalk/http/operators.py
@@ -16,8 +16,8 @@
 from aiohttp import web
 
 from cactuswalk.errors import UsageError
-from cactuswalk.http.operators_cells import CellsDesk
-from cactuswalk.http.operators_changes import Accepted, ChangeRequest, Changes
+from cactuswalk.http.operators_cells import CellRetirement
+from cactuswalk.http.operators_changes import Accepted, ChangeRequest, ChangeWriter
 from cactuswalk.http.operators_errors import (
     MissingPreconditionError,
     ObjectNotFoundError,
@@ -72,7 +72,7 @@
 
 
 INTERFACE = web.AppKey("interface", OperatorsInterface)
-CHANGES = web.AppKey("changes", Changes)
+CHANGES = web.AppKey("changes", ChangeWriter)
 WHO = "who"
 
 
@@ -83,7 +83,9 @@
         client_max_size=MAXIMUM_BODY_BYTES,
     )
     application[INTERFACE] = interface
-    application[CHANGES] = Changes(interface.keys, interface.replica, interface.publish)
+    application[CHANGES] = ChangeWriter(
+        interface.keys, interface.replica, interface.publish
+    )
     one = "/operator/objects/{kind}/{name}"
     application.add_routes(
         [
@@ -206,7 +208,7 @@
     interface, cell = request.app[INTERFACE], request.match_info["cell"]
     to = request.query.get("to", "")
     store, heard, clock = interface.keys.store, interface.is_heard, interface.wall_ms
-    desk = CellsDesk(store, heard, clock)
+    desk = CellRetirement(store, heard, clock)
     # A write that has begun ends also if the operator closes the connection.
     done = await asyncio.shield(desk.retire(cell, to, is_set(request, "hosts_are_off")))
     interface.log("retired a cell", done | {"who": request[WHO]})
@@ -258,7 +260,7 @@
     interface = application[INTERFACE]
     tell = functools.partial(tell_outcome, interface, wanted)
     try:
-        accepted = await application[CHANGES].make(wanted)
+        accepted = await application[CHANGES].apply(wanted)
     except Exception as error:
         tell(getattr(error, "code", "failed"), 0)
         raise
--- a/src/cactuswalk/http/operators_cells.py
+++ b/src/cactuswalk/http/operators_cells.py
@@ -11,14 +11,14 @@
     ConflictError,
     ObjectNotFoundError,
     OutcomeUnknownError,
-    ServiceAwayError,
+    ServiceUnavailableError,
 )
 from cactuswalk.http.operators_store import KeyValueStore
 from cactuswalk.model import CellRecord, Member
 from cactuswalk.model.cell import cell_key
 from cactuswalk.state.events import SwapOutcome
 
-__all__ = ["CellAliveError", "CellsDesk"]
+__all__ = ["CellAliveError", "CellRetirement"]
 
 # As a cession: beyond the margins of callers' and entries' clocks, so that no key
 # that the cell may have accepted is given away.
@@ -33,7 +33,7 @@
     exit_code = 5
 
 
-class CellsDesk:
+class CellRetirement:
     """Changes records of cells for operators.
 
     :param is_heard: whether the entry hears an owner of a cell.
@@ -94,7 +94,7 @@
     async def _read(self, cell: str) -> tuple[CellRecord, int]:
         event = await self.store.read(cell_key(cell))
         if not event.known:
-            raise ServiceAwayError(
+            raise ServiceUnavailableError(
                 f"the key-value service gave no answer for {cell}",
                 "Nothing was written. Try again when the service answers.",
             )
--- a/src/cactuswalk/http/operators_changes.py
+++ b/src/cactuswalk/http/operators_changes.py
@@ -8,8 +8,8 @@
     ConflictError,
     ObjectNotFoundError,
     OutcomeUnknownError,
-    ServiceAwayError,
-    ServiceWentBackError,
+    ServiceRolledBackError,
+    ServiceUnavailableError,
 )
 from cactuswalk.http.operators_store import (
     Change,
@@ -22,7 +22,7 @@
 from cactuswalk.state.configuration import Replica
 from cactuswalk.state.events import SwapOutcome
 
-__all__ = ["Accepted", "ChangeRequest", "Changes", "difference"]
+__all__ = ["Accepted", "ChangeRequest", "ChangeWriter", "difference"]
 
 # A line of history is for people; an object of many long labels would fill
 # the service's value with its own past.
@@ -64,7 +64,7 @@
     written: bool
 
 
-class Changes:
+class ChangeWriter:
     """Writes changes, and hands what was accepted to the replica at once.
 
     :param publish: called with an update for this entry's replica. The watch
@@ -84,11 +84,11 @@
         self.replica = replica
         self.publish = publish
 
-    async def make(self, request: ChangeRequest) -> Accepted:
+    async def apply(self, request: ChangeRequest) -> Accepted:
         """Make a change.
 
         :raises ConflictError: another came first; this one will not be made.
-        :raises ServiceAwayError: nothing was written.
+        :raises ServiceUnavailableError: nothing was written.
         :raises OutcomeUnknownError: it may have been written.
         """
         held = self.replica.revision
@@ -114,7 +114,7 @@
         """
         shown = await self.keys.revision()
         if shown < held:
-            raise ServiceWentBackError(held, shown, written=False)
+            raise ServiceRolledBackError(held, shown, written=False)
 
     async def _write(
         self,
@@ -136,7 +136,7 @@
         if swapped.outcome is not SwapOutcome.APPLIED:
             return await self._settle(request, current.revision, swapped.outcome)
         if swapped.revision <= held:
-            raise ServiceWentBackError(held, swapped.revision, written=True)
+            raise ServiceRolledBackError(held, swapped.revision, written=True)
         self._publish(request.key, after, swapped.revision, [swapped.revision])
         return Accepted(
             request.key, swapped.revision, after, lines, request.write_id, True
@@ -152,7 +152,7 @@
         """
         try:
             current = await self.keys.read(request.key)
-        except ServiceAwayError:
+        except ServiceUnavailableError:
             raise OutcomeUnknownError(request.key, request.write_id) from None
         if current.find(request.write_id):
             return self._accept_found(request, current)
--- a/src/cactuswalk/http/operators_errors.py
+++ b/src/cactuswalk/http/operators_errors.py
@@ -7,8 +7,8 @@
     "MissingPreconditionError",
     "ObjectNotFoundError",
     "OutcomeUnknownError",
-    "ServiceAwayError",
-    "ServiceWentBackError",
+    "ServiceUnavailableError",
+    "ServiceRolledBackError",
     "UnauthorizedError",
     "UnreadableValueError",
 ]
@@ -58,7 +58,7 @@
         self.at_ms = at_ms
 
 
-class ServiceAwayError(CactuswalkError):
+class ServiceUnavailableError(CactuswalkError):
     """The key-value service gives no answer; nothing was written."""
 
     code = "not_written"
@@ -66,7 +66,7 @@
     exit_code = 5
 
 
-class ServiceWentBackError(ServiceAwayError):
+class ServiceRolledBackError(ServiceUnavailableError):
     """The key-value service has lost changes that are in force."""
 
     code = "service_went_back"
--- a/src/cactuswalk/http/operators_store.py
+++ b/src/cactuswalk/http/operators_store.py
@@ -11,7 +11,10 @@
 import msgspec
 
 from cactuswalk.errors import CactuswalkError
-from cactuswalk.http.operators_errors import ServiceAwayError, UnreadableValueError
+from cactuswalk.http.operators_errors import (
+    ServiceUnavailableError,
+    UnreadableValueError,
+)
 from cactuswalk.messages import ConfigurationUpdate, StoredObject
 from cactuswalk.model.configuration import OperatorObject, encode_object
 from cactuswalk.state.events import KeyRead, KeySwapped
@@ -20,11 +23,11 @@
     "Change",
     "ConfigurationKeys",
     "Current",
-    "Follower",
+    "ConfigurationFollower",
     "KeyValueStore",
     "StoredValue",
     "encode_stored",
-    "follow",
+    "follow_configuration",
 ]
 
 # A write is recognised for this many further changes of its object; at some
@@ -151,11 +154,11 @@
     async def read(self, key: str) -> Current:
         """Read an object with its history.
 
-        :raises ServiceAwayError: if the service gives no answer.
+        :raises ServiceUnavailableError: if the service gives no answer.
         """
         read = await self.store.read(self.prefix + key)
         if not read.known:
-            raise ServiceAwayError(
+            raise ServiceUnavailableError(
                 f"the key-value service gave no answer for {key}",
                 "Nothing was written. The configuration in force stays in force; "
                 "try again when the service answers.",
@@ -167,12 +170,12 @@
     async def revision(self) -> int:
         """Return the service's own revision, by reading nothing else.
 
-        :raises ServiceAwayError: if the service gives no answer.
+        :raises ServiceUnavailableError: if the service gives no answer.
         """
         try:
             revision, _ = await self.store.list(f"{self.prefix}none/")
         except CactuswalkError as error:
-            raise ServiceAwayError(
+            raise ServiceUnavailableError(
                 f"the key-value service gave no answer: {error.message}",
                 "Nothing was written. The configuration in force stays in force; "
                 "try again when the service answers.",
@@ -228,7 +231,7 @@
         return Current(key, revision, stored.object, stored.history)
 
 
-class Follower:
+class ConfigurationFollower:
     """Turns a list and the watch that continues it into updates."""
 
     __slots__ = ("keys", "newest")
@@ -238,7 +241,7 @@
         # Revision of the newest object so far: the next update builds on it.
         self.newest = 0
 
-    def take(self, news: KeyChanges) -> ConfigurationUpdate:
+    def make_update(self, news: KeyChanges) -> ConfigurationUpdate:
         """Return the update for the next news of the watch."""
         since = 0 if news.is_snapshot else self.newest
         update = self.keys.update(since, news.changes)
@@ -246,13 +249,13 @@
         return update
 
 
-async def follow(
+async def follow_configuration(
     keys: ConfigurationKeys, publish: Callable[[ConfigurationUpdate], None]
 ) -> None:
     """Hand all changes in the service to a replica until cancelled.
 
     :param publish: called with each update, for the entry's own ``Spread``.
     """
-    follower = Follower(keys)
+    follower = ConfigurationFollower(keys)
     async for news in keys.store.watch(keys.prefix, 0):
-        publish(follower.take(news))
+        publish(follower.make_update(news))
--- a/src/cactuswalk/runtime/entry.py
+++ b/src/cactuswalk/runtime/entry.py
@@ -10,7 +10,7 @@
 from cactuswalk.decisions.leaving import EntryShutdown
 from cactuswalk.http.callers import EntryCallables, make_callers_application
 from cactuswalk.http.operators import make_operators_application
-from cactuswalk.http.operators_store import ConfigurationKeys, follow
+from cactuswalk.http.operators_store import ConfigurationKeys, follow_configuration
 from cactuswalk.http.server import HttpServer
 from cactuswalk.messages import ConfigurationUpdate, JobState
 from cactuswalk.model.configuration import JobTemplate
@@ -94,7 +94,9 @@
         """Start watches of the cells and the configuration."""
         self.configuration_keys = ConfigurationKeys(self.runtime.store)
         self.application.spawn(self.runtime.key_value.watch("cells/"))
-        self.application.spawn(follow(self.configuration_keys, self._publish))
+        self.application.spawn(
+            follow_configuration(self.configuration_keys, self._publish)
+        )
 
     async def _do_nothing(self) -> None:
         """Do nothing: the application cancels the watches itself."""
