--- a/features/process_faults_load.py
+++ b/features/process_faults_load.py
@@ -20,10 +20,10 @@
 from tools.processes import wait_until
 from tools.workloads import LABUTA, Arrival, Kind
 
-__all__ = ["Load", "ask", "owner_of", "small_cluster"]
+__all__ = ["Load", "find_owner", "send_request", "small_cluster"]
 
 # Outer bounds only: a busy machine takes seconds where an idle one takes none.
-PATIENCE_S = 60.0
+MAX_WAIT_S = 60.0
 DEADLINE_MS = 20_000
 # How long a balancer takes to try again when no entry takes connections.
 PAUSE_S = 0.1
@@ -45,7 +45,7 @@
     )
 
 
-def owner_of(cluster: Cluster) -> str:
+def find_owner(cluster: Cluster) -> str:
     """Return the worker whose agent serves the newest epoch, by its log."""
     newest, owner = 0, ""
     for name in cluster.workers:
@@ -71,7 +71,7 @@
         self.balanced = balanced
         self.stopping = threading.Event()
         self.sent: list[Sent] = []
-        self.broken = 0
+        self.disconnects = 0
         self.turn = 0
         self.failure: BaseException | None = None
         self.thread = threading.Thread(target=self._run, daemon=True)
@@ -83,7 +83,7 @@
     def finish(self) -> list[Sent]:
         """Send nothing new; return what came of everything."""
         self.stopping.set()
-        self.thread.join(2 * PATIENCE_S)
+        self.thread.join(2 * MAX_WAIT_S)
         assert not self.thread.is_alive(), "callers wait without end"
         if self.failure is not None:
             raise self.failure
@@ -96,7 +96,7 @@
     def wait_answered(self, more: int) -> None:
         """Return once so many more have been answered."""
         goal = self.answered() + more
-        wait_until(lambda: self.answered() >= goal, PATIENCE_S, f"{more} more answers")
+        wait_until(lambda: self.answered() >= goal, MAX_WAIT_S, f"{more} more answers")
 
     def _run(self) -> None:
         try:
@@ -152,9 +152,9 @@
             sent = Sent(arrival, key, "lost", "", 0.0)
             await self._post(session, sent)
             sent.response_s = time.monotonic() - began
-            if sent.outcome != "lost" or sent.response_s > PATIENCE_S:
+            if sent.outcome != "lost" or sent.response_s > MAX_WAIT_S:
                 break
-            self.broken += 1
+            self.disconnects += 1
             await asyncio.sleep(PAUSE_S)
         self.sent.append(sent)
 
@@ -181,7 +181,7 @@
         judge(sent, status, body, works)
 
 
-def ask(cluster: Cluster, entry: int = 0) -> Sent:
+def send_request(cluster: Cluster, entry: int = 0) -> Sent:
     """Send one request of its own and return what came of it."""
     arrival = Arrival(0.0, REQUEST, [20])
     key = mint(int(time.time() * 1000), random.Random())
@@ -191,7 +191,7 @@
     headers = headers_of(arrival, key)
     try:
         status, body = cluster.request(
-            "POST", url, {"work": works[0], "duration_ms": 20}, headers, PATIENCE_S
+            "POST", url, {"work": works[0], "duration_ms": 20}, headers, MAX_WAIT_S
         )
     except OSError as error:
         sent.fault = f"no answer: {type(error).__name__}"
@@ -200,7 +200,7 @@
     return sent
 
 
-def lookups_of(sent: list[Sent]) -> frozenset[str]:
+def find_idempotent_submissions(sent: list[Sent]) -> frozenset[str]:
     """Return the submissions that their callers declared idempotent."""
     return frozenset(
         submission_name(one.arrival.kind.team, one.key)
@@ -209,7 +209,7 @@
     )
 
 
-def faults_found(
+def find_faults(
     sent: list[Sent], cluster: Cluster, repeatable: frozenset[str] = frozenset()
 ) -> list[str]:
     """Return what the records and the callers' answers prove wrong.
--- a/features/steps/process_cells_steps.py
+++ b/features/steps/process_cells_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then
 
-from features.process_faults_load import PATIENCE_S, Load
+from features.process_faults_load import MAX_WAIT_S, Load
 from features.steps.process_faults_steps import add_clean_up, wait_served
 from tools.cluster import OPERATOR, Cluster, Worker, token_of
 from tools.processes import wait_until
@@ -31,7 +31,7 @@
         shares = shares_of(cluster)
         return len(shares) == len(CELLS) and all(shares.values())
 
-    wait_until(shared, PATIENCE_S, "a share for each cell")
+    wait_until(shared, MAX_WAIT_S, "a share for each cell")
 
 
 @given("two cells of three workers each under load from two entries")
--- a/features/steps/process_dispatch_steps.py
+++ b/features/steps/process_dispatch_steps.py
@@ -8,8 +8,8 @@
     HOST,
     Deployment,
     call_json,
-    configuration,
-    job_body,
+    make_configuration,
+    make_job_body,
 )
 from tools.processes import wait_until
 
@@ -33,10 +33,12 @@
 def step_job_under_way(context, tasks, ms, entry):
     deployment = context.deployment
     context.tasks, context.ms = tasks, ms
-    before = len(deployment.started())
+    before = len(deployment.list_started_tasks())
     context.pending = deployment.submit_later(entry, tasks, ms, identifier=SAME_JOB)
     wait_until(
-        lambda: len(deployment.started()) - before >= tasks, 5.0, "the job's tasks"
+        lambda: len(deployment.list_started_tasks()) - before >= tasks,
+        5.0,
+        "the job's tasks",
     )
 
 
@@ -62,14 +64,14 @@
 
 @when("the store is {mode:w} and a job is handed in")
 def step_store_fault(context, mode):
-    context.deployment.fault(mode)
+    context.deployment.set_store_fault(mode)
     time.sleep(0.3)
     context.result = context.deployment.submit(0, 2, 100)
 
 
 @when("the store is well again and drops its history")
 def step_store_well(context):
-    context.deployment.fault("")
+    context.deployment.set_store_fault("")
     call_json(f"{context.deployment.store_url}/compact", {})
 
 
@@ -82,33 +84,33 @@
 @when("the store drops its history while {centre:S} is taken back")
 def step_take_back(context, centre):
     deployment = context.deployment
-    deployment.fault("reset")
-    deployment.take_back(centre)
+    deployment.set_store_fault("reset")
+    deployment.end_evacuation(centre)
     call_json(f"{deployment.store_url}/compact", {})
-    deployment.fault("")
+    deployment.set_store_fault("")
     time.sleep(2.5)
 
 
 @then("worker {number:d} has run nothing")
 def step_worker_idle(context, number):
-    assert not context.deployment.started(number)
+    assert not context.deployment.list_started_tasks(number)
 
 
 @then("worker {number:d} has run something")
 def step_worker_used(context, number):
-    assert context.deployment.started(number)
+    assert context.deployment.list_started_tasks(number)
 
 
 @when("the store turns everyone away and {name:S} is started anew")
 def step_start_in_outage(context, name):
     context.deployment[name].kill()
-    context.deployment.fault("busy")
+    context.deployment.set_store_fault("busy")
     context.deployment[name].start()
 
 
 @when("the queue moves to another path")
 def step_queue_moves(context):
-    body = configuration(5, path_prefix="/moved/")
+    body = make_configuration(5, path_prefix="/moved/")
     context.deployment.write_configuration(body)
 
 
@@ -127,7 +129,7 @@
 
 @when("a body with {fault} is handed in")
 def step_bad_body(context, fault):
-    body = job_body(2, 100)
+    body = make_job_body(2, 100)
     if fault == "no steps":
         body["steps"] = []
     elif fault == "a cycle":
@@ -168,14 +170,14 @@
 
 @then("the workers' records show {count:d} runs, none twice at once")
 def step_runs(context, count):
-    assert len(context.deployment.started()) == count
-    assert not context.deployment.overlaps()
+    assert len(context.deployment.list_started_tasks()) == count
+    assert not context.deployment.find_overlaps()
 
 
 @then("the workers' records show no task twice at once")
 def step_no_overlap(context):
-    assert len(context.deployment.started()) > 0
-    assert not context.deployment.overlaps()
+    assert len(context.deployment.list_started_tasks()) > 0
+    assert not context.deployment.find_overlaps()
 
 
 @then("entry 1 counts 0 queued jobs, and has no queue elsewhere")
@@ -250,14 +252,14 @@
 
 @then("nothing has run")
 def step_nothing_ran(context):
-    assert len(context.deployment.started()) == 0
+    assert len(context.deployment.list_started_tasks()) == 0
 
 
 @when("the store falls silent and jobs come to entry {entry:d} until it has stopped")
 def step_until_stopped(context, entry):
     deployment = context.deployment
     process = deployment[f"entry-{entry}"]
-    deployment.fault("silent")
+    deployment.set_store_fault("silent")
     process.terminate()
     began = time.monotonic()
     context.statuses = []
--- a/features/steps/process_faults_keys_steps.py
+++ b/features/steps/process_faults_keys_steps.py
@@ -12,18 +12,18 @@
 from cactuswalk.model import Member
 from cactuswalk.runtime.keys import address_with_key
 from features.process_faults_load import (
-    PATIENCE_S,
+    MAX_WAIT_S,
     Load,
-    ask,
-    faults_found,
+    find_faults,
+    send_request,
     small_cluster,
 )
 from features.steps.process_faults_steps import add_clean_up, wait_served
 from tools.processes import wait_until
 from tools.rolling import refusals_of, roll
 
-REFUSED = re.compile(rb"transport\.stranger_refused:(\d+)\|c")
-BROKEN = re.compile(rb"transport\.handshake_broken:(\d+)\|c")
+REFUSED_STRANGERS = re.compile(rb"transport\.stranger_refused:(\d+)\|c")
+BROKEN_HANDSHAKES = re.compile(rb"transport\.handshake_broken:(\d+)\|c")
 STRANGER = "w4"
 
 
@@ -34,14 +34,14 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("127.0.0.1", 0))
         self.port = self.socket.getsockname()[1]
-        self.refused = 0
-        self.broken = 0
+        self.refused_strangers = 0
+        self.broken_handshakes = 0
         threading.Thread(target=self.listen, daemon=True).start()
 
     def listen(self):
         while packet := self.socket.recv(65_536):
-            self.refused += sum(map(int, REFUSED.findall(packet)))
-            self.broken += sum(map(int, BROKEN.findall(packet)))
+            self.refused_strangers += sum(map(int, REFUSED_STRANGERS.findall(packet)))
+            self.broken_handshakes += sum(map(int, BROKEN_HANDSHAKES.findall(packet)))
 
     def close(self):
         self.socket.sendto(b"", ("127.0.0.1", self.port))
@@ -108,12 +108,14 @@
     Either end may see first that the two don't match. If the stranger does, it
     closes and never comes again, and the other end has a broken handshake.
     """
-    context.count_strangers = lambda: context.counter.refused + context.counter.broken
+    context.count_strangers = lambda: (
+        context.counter.refused_strangers + context.counter.broken_handshakes
+    )
 
 
 @given("a stranger's agent with a key that is not known beside them")
 def step_other_key(context):
-    context.count_strangers = lambda: context.counter.refused
+    context.count_strangers = lambda: context.counter.refused_strangers
     public, secret = pair()
     allowed = f"{public} {context.keys[0]}"
     curve = {"public_key": public, "secret_key": secret, "allowed_keys": allowed}
@@ -159,15 +161,15 @@
         push.curve_publickey, push.curve_secretkey = map(str.encode, context.keys)
         push.curve_serverkey = context.keys[0].encode()
         push.immediate = 1
-        push.sndtimeo = int(PATIENCE_S * 1000)
+        push.sndtimeo = int(MAX_WAIT_S * 1000)
         push.linger = 0
         push.connect(f"tcp://127.0.0.1:{listener.getsockname()[1]}")
         member = Member(secret, "0", "tcp://127.0.0.1:9")
         frame = encode(Envelope("tcp://127.0.0.1:9", [Join("other", member, None)]))
         assert secret.encode() in frame
         push.send(frame)
-        wait_until(lambda: len(seen) > len(frame), PATIENCE_S, "the frame")
-        wait_until(lambda: b"CURVE" in seen, PATIENCE_S, "the greeting")
+        wait_until(lambda: len(seen) > len(frame), MAX_WAIT_S, "the frame")
+        wait_until(lambda: b"CURVE" in seen, MAX_WAIT_S, "the greeting")
     assert secret.encode() not in seen
 
 
@@ -178,14 +180,14 @@
         add_clean_up(context, process.end)
         process.start()
     wait_until(
-        lambda: context.count_strangers() > before, PATIENCE_S, "a stranger's count"
+        lambda: context.count_strangers() > before, MAX_WAIT_S, "a stranger's count"
     )
 
 
 @then("the stranger's agent is on no roster and got no work")
 def step_nowhere(context):
     for _ in range(40):
-        assert ask(context.cluster).outcome == "answered"
+        assert send_request(context.cluster).outcome == "answered"
     assert not context.cluster.is_ready(f"agent-{STRANGER}")
     assert all(process.alive for process in context.strangers.values())
     for name in members_of(context.cluster):
@@ -217,25 +219,25 @@
 @then("the load during the rotation was answered whole, nothing cut off or refused")
 def step_uncut_rotation(context):
     sent = context.load.finish()
-    found, refused = faults_found(sent, context.cluster), refusals_of(sent)
-    print(f"{len(sent)} sent, {context.load.broken} cut off, refused {refused}")
+    found, refused = find_faults(sent, context.cluster), refusals_of(sent)
+    print(f"{len(sent)} sent, {context.load.disconnects} cut off, refused {refused}")
     assert not found, found[:10]
     assert not refused, refused
-    assert not context.load.broken, context.load.broken
-    assert context.counter.refused == 0, context.counter.refused
+    assert not context.load.disconnects, context.load.disconnects
+    assert context.counter.refused_strangers == 0, context.counter.refused_strangers
 
 
 @then("the old key of the deployment is refused by each process")
 def step_old_refused(context):
     for name in members_of(context.cluster):
-        before = context.counter.refused
+        before = context.counter.refused_strangers
         with zmq.Context() as trying, trying.socket(zmq.PUSH) as push:
             push.curve_publickey, push.curve_secretkey = map(str.encode, context.keys)
             push.curve_serverkey = context.new_keys[0].encode()
             push.linger = 0
             push.connect(context.cluster.addresses[name])
             wait_until(
-                lambda before=before: context.counter.refused > before,
-                PATIENCE_S,
+                lambda before=before: context.counter.refused_strangers > before,
+                MAX_WAIT_S,
                 f"{name}'s refusal",
             )
--- a/features/steps/process_faults_operators_steps.py
+++ b/features/steps/process_faults_operators_steps.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from features.process_faults_load import PATIENCE_S, owner_of, small_cluster
+from features.process_faults_load import MAX_WAIT_S, find_owner, small_cluster
 from features.steps.process_faults_steps import add_clean_up, wait_served
 from tools.cluster import OPERATOR, token_of
 from tools.processes import ROOT, wait_until
@@ -34,7 +34,7 @@
 def run_command(cluster, entry, *arguments, given=""):
     """Run the command and return its status and what it printed as JSON."""
     process = start_command(cluster, entry, *arguments)
-    out, error = process.communicate(given, timeout=PATIENCE_S)
+    out, error = process.communicate(given, timeout=MAX_WAIT_S)
     return process.returncode, json.loads(out) if out.strip() else {}, error
 
 
@@ -51,7 +51,7 @@
         headers["Cactuswalk-Selector"] = selector
     url = f"{cluster.entry_url(entry - 1)}/v1/services/booking/requests"
     body = {"work": "operators", "duration_ms": 100}
-    status, answer = cluster.request("POST", url, body, headers, PATIENCE_S)
+    status, answer = cluster.request("POST", url, body, headers, MAX_WAIT_S)
     return status, json.loads(answer)
 
 
@@ -74,7 +74,7 @@
     wait_served(context.cluster)
     wait_until(
         lambda: set(land(context.cluster, 1, 12)) == {"w1", "w2", "w3"},
-        PATIENCE_S,
+        MAX_WAIT_S,
         "work on each worker",
     )
 
@@ -89,13 +89,13 @@
 @when("an operator drains a worker beside the owner's through entry {entry:d}")
 def step_drain_other(context, entry):
     # An owner's death in an outage leaves its cell without one, by design.
-    owner = owner_of(context.cluster)
+    owner = find_owner(context.cluster)
     drain(context, entry, min(set(context.cluster.workers) - {owner}))
 
 
 @when("an operator drains the owner's worker through entry {entry:d}")
 def step_drain_owner(context, entry):
-    drain(context, entry, owner_of(context.cluster))
+    drain(context, entry, find_owner(context.cluster))
 
 
 def drain(context, entry, worker):
@@ -121,7 +121,7 @@
         lambda: (
             shown(context.cluster, entry, worker).get("labels", {}).get(key) == value
         ),
-        PATIENCE_S,
+        MAX_WAIT_S,
         f"the label at entry {entry}",
     )
 
@@ -140,7 +140,7 @@
             # An entry that has just been started takes no connections yet.
             return False
 
-    wait_until(drained, PATIENCE_S, f"the drain at entry {entry}")
+    wait_until(drained, MAX_WAIT_S, f"the drain at entry {entry}")
 
 
 @then("of {count:d} requests through entry {entry:d} none lands on the drained worker")
@@ -155,7 +155,7 @@
 
 def step_none(context, count, entry, worker):
     wait_until(
-        lambda: submit(context.cluster, entry)[0] == 200, PATIENCE_S, "an answer"
+        lambda: submit(context.cluster, entry)[0] == 200, MAX_WAIT_S, "an answer"
     )
     before = started(context.cluster, worker)
     landed = land(context.cluster, entry, count)
@@ -195,13 +195,13 @@
         assert len(context.cluster.starts()) == before
         return True
 
-    wait_until(refused, PATIENCE_S, "a refusal")
+    wait_until(refused, MAX_WAIT_S, "a refusal")
 
 
 @then("requests through entry {entry:d} come to be answered")
 def step_answered(context, entry):
     wait_until(
-        lambda: submit(context.cluster, entry)[0] == 200, PATIENCE_S, "an answer"
+        lambda: submit(context.cluster, entry)[0] == 200, MAX_WAIT_S, "an answer"
     )
 
 
@@ -209,7 +209,7 @@
 def step_lands(context, entry, worker):
     wait_until(
         lambda: worker in land(context.cluster, entry, 12),
-        PATIENCE_S,
+        MAX_WAIT_S,
         f"work on {worker}",
     )
 
@@ -236,7 +236,7 @@
         )
 
     for name in context.cluster.workers:
-        wait_until(lambda name=name: put(name), PATIENCE_S, f"the change at {name}")
+        wait_until(lambda name=name: put(name), MAX_WAIT_S, f"the change at {name}")
 
 
 @then("the accepted change comes into force on every node")
@@ -260,7 +260,7 @@
 @when("two operators label worker w1 at the same moment until one loses")
 def step_race(context):
     context.races = []
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + MAX_WAIT_S
     # Each call takes this long, so that both look before either writes.
     context.cluster.set_keyvalue_faults(slow_ms=300)
     while not any(CONFLICT in (one[0] for one in race) for race in context.races):
@@ -274,7 +274,7 @@
         ]
         race = []
         for process in processes:
-            out, error = process.communicate(timeout=PATIENCE_S)
+            out, error = process.communicate(timeout=MAX_WAIT_S)
             race.append((process.returncode, json.loads(out), error))
         context.races.append(race)
     context.cluster.clear_keyvalue_faults()
@@ -305,6 +305,6 @@
             lambda entry=entry: (
                 shown(context.cluster, entry, "w1")["labels"]["by"] == last
             ),
-            PATIENCE_S,
+            MAX_WAIT_S,
             f"the winner's label at entry {entry}",
         )
--- a/features/steps/process_faults_steps.py
+++ b/features/steps/process_faults_steps.py
@@ -5,12 +5,12 @@
 from behave import given, then, when
 
 from features.process_faults_load import (
-    PATIENCE_S,
+    MAX_WAIT_S,
     Load,
-    ask,
-    faults_found,
-    lookups_of,
-    owner_of,
+    find_faults,
+    find_idempotent_submissions,
+    find_owner,
+    send_request,
     small_cluster,
 )
 from tools.processes import wait_until
@@ -35,8 +35,8 @@
 def wait_served(cluster):
     for entry in range(len(cluster.entry_names)):
         wait_until(
-            lambda entry=entry: ask(cluster, entry).outcome == "answered",
-            PATIENCE_S,
+            lambda entry=entry: send_request(cluster, entry).outcome == "answered",
+            MAX_WAIT_S,
             f"an answer through entry {entry + 1}",
         )
 
@@ -44,7 +44,7 @@
 def names_of(context, who):
     """Return the processes that a scenario speaks of."""
     cluster = context.cluster
-    owner = owner_of(cluster)
+    owner = find_owner(cluster)
     other = next(name for name in cluster.workers if name != owner)
     return {
         "the owner's agent": [f"agent-{owner}"],
@@ -91,9 +91,9 @@
         "held back": {"stalled": True},
         "late": {"late_ms": 300},
     }[conduct]
-    context.cluster.set_links(names_of(context, who), **faults)
+    context.cluster.set_link_faults(names_of(context, who), **faults)
     time.sleep(PAST_ITS_STANDING_S)
-    context.cluster.clear_links()
+    context.cluster.clear_link_faults()
 
 
 @when("the fault kills {who}")
@@ -110,7 +110,7 @@
         context.cluster[name].freeze()
     time.sleep(PAST_ITS_STANDING_S)
     for name in names:
-        context.cluster[name].thaw()
+        context.cluster[name].unfreeze()
 
 
 @when("the load gets {count:d} more answers")
@@ -154,7 +154,7 @@
 
 @then("a new request is told that there is no owner")
 def step_no_owner(context):
-    sent = ask(context.cluster)
+    sent = send_request(context.cluster)
     assert sent.code == "no_owner", sent
 
 
@@ -166,13 +166,13 @@
 @then("every caller of the load got one true and whole answer")
 def step_judge(context):
     sent = context.load.finish()
-    context.lookups = lookups_of(sent)
-    found = faults_found(sent, context.cluster, context.lookups)
+    context.lookups = find_idempotent_submissions(sent)
+    found = find_faults(sent, context.cluster, context.lookups)
     outcomes = {}
     for one in sent:
         what = one.code or one.outcome
         outcomes[what] = outcomes.get(what, 0) + 1
-    print(f"{len(sent)} answers: {outcomes}, {context.load.broken} sent again")
+    print(f"{len(sent)} answers: {outcomes}, {context.load.disconnects} sent again")
     assert not found, found[:10]
     assert outcomes["answered"] >= 15, outcomes
 
--- a/features/steps/process_faults_stops_steps.py
+++ b/features/steps/process_faults_stops_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.process_faults_load import PATIENCE_S, Load, faults_found
+from features.process_faults_load import MAX_WAIT_S, Load, find_faults
 from features.steps.process_faults_operators_steps import land
 from features.steps.process_faults_steps import begin, names_of
 from tools.cluster import token_of
@@ -32,8 +32,8 @@
     process.terminate()
     if process.name.startswith("upstream-"):
         # A stand-in, which is not what is tried here, can be asked only once.
-        return process.wait(PATIENCE_S)
-    end = time.monotonic() + PATIENCE_S
+        return process.wait(MAX_WAIT_S)
+    end = time.monotonic() + MAX_WAIT_S
     while process.alive and time.monotonic() < end:
         process.terminate()
         time.sleep(ASK_AGAIN_S)
@@ -78,18 +78,18 @@
 def step_uncut(context):
     sent = context.load.finish()
     refused = refusals_of(sent)
-    found = faults_found(sent, context.cluster)
-    print(f"{len(sent)} sent, {context.load.broken} cut off, refused {refused}")
+    found = find_faults(sent, context.cluster)
+    print(f"{len(sent)} sent, {context.load.disconnects} cut off, refused {refused}")
     assert not found, found[:10]
     assert not refused, refused
-    assert not context.load.broken, context.load.broken
+    assert not context.load.disconnects, context.load.disconnects
 
 
 @given("a cell of three workers and an upstream that fails everything")
 def step_failing(context):
     begin(context, workers=WORKERS["three"])
     cluster = context.cluster
-    wait_until(lambda: "w2" in land(cluster, 1, 12), PATIENCE_S, "work on w2")
+    wait_until(lambda: "w2" in land(cluster, 1, 12), MAX_WAIT_S, "work on w2")
     cluster.set_upstream_faults("w2", fail=True)
 
 
@@ -122,5 +122,5 @@
         }
         return ended.values() if begun == ended.keys() else ()
 
-    wait_until(lambda: "stopped" in ends(), PATIENCE_S / 2, "the end of all tasks")
+    wait_until(lambda: "stopped" in ends(), MAX_WAIT_S / 2, "the end of all tasks")
     assert set(ends()) == {"stopped", "failed"}, ends()
--- a/features/steps/process_guard_steps.py
+++ b/features/steps/process_guard_steps.py
@@ -16,8 +16,8 @@
 WISHES = ("stop", "throttle", "checkpoint")
 
 
-def deploy(context, enabled="yes", saves=False):
-    worker = Worker("w1", "booking", memory_mb=1000, saves=saves)
+def deploy(context, enabled="yes", can_checkpoint=False):
+    worker = Worker("w1", "booking", memory_mb=1000, can_checkpoint=can_checkpoint)
     changes = {"agent": {"guard": {"enabled": enabled}}}
     context.cluster = Cluster(1, [worker], changes)
     context.clean_ups = [context.cluster.close]
@@ -28,7 +28,7 @@
 
 @given("a worker of 1000 MB with its guard {state}, whose upstream can save tasks")
 def step_saving_worker(context, state):
-    deploy(context, saves=True)
+    deploy(context, can_checkpoint=True)
 
 
 @given("a worker of 1000 MB with its guard {state}")
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -16,7 +16,7 @@
 from tools.workloads import plan
 
 # Long enough for a busy machine to start Python; nothing is measured by it.
-PATIENCE_S = 30.0
+MAX_WAIT_S = 30.0
 
 LAUNCHER = """
 import sys, time
@@ -31,7 +31,7 @@
     context.clean_ups = [*getattr(context, "clean_ups", []), clean_up]
 
 
-def ended(pid):
+def has_ended(pid):
     """Say whether a process is gone, or dead and only not yet reaped."""
     try:
         with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
@@ -99,7 +99,7 @@
 
 @then("no process of the launcher is left")
 def step_none_left(context):
-    assert ended(context.pid)
+    assert has_ended(context.pid)
     assert not context.cluster.directory.exists()
 
 
@@ -123,7 +123,7 @@
 
 @then("its key-value stand-in ends by itself")
 def step_ends(context):
-    wait_until(lambda: ended(context.pid), PATIENCE_S, "the stand-in's end")
+    wait_until(lambda: has_ended(context.pid), MAX_WAIT_S, "the stand-in's end")
 
 
 @given("two load plans with seed {seed:d} and one with seed {other:d}")
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -80,7 +80,7 @@
 def step_fault(context, faults):
     context.upstream.faults = msgspec.json.decode(faults, type=Faults)
     if context.upstream.faults.frozen:
-        context.upstream.thawed.clear()
+        context.upstream.unfrozen.clear()
 
 
 @when('task {index:d} of "{submission}" is called at the upstream')
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -103,8 +103,8 @@
     def __init__(self, options: Options) -> None:
         self.options = options
         self.faults = Faults()
-        self.thawed = asyncio.Event()
-        self.thawed.set()
+        self.unfrozen = asyncio.Event()
+        self.unfrozen.set()
         self.records: list[dict] = []
         self.running: dict[tuple[str, int], RunningTask] = {}
         self.most_running = 0
@@ -152,7 +152,7 @@
         memory_mb = int(work.get("uses_mb", 0))
     except (KeyError, ValueError, AttributeError, TypeError) as error:
         return web.json_response({"error": f"no task: {error!r}"}, status=400)
-    await upstream.thawed.wait()
+    await upstream.unfrozen.wait()
     upstream.note("start", submission, index, attempt=attempt, work=work.get("work"))
     task = RunningTask(seconds, attempt, memory_mb)
     upstream.running[submission, index] = task
@@ -163,7 +163,7 @@
             outcome = "failed"
             return web.json_response({"error": "fails everything"}, status=500)
         await task.run(upstream.faults.slow)
-        await upstream.thawed.wait()
+        await upstream.unfrozen.wait()
         outcome = "stopped" if task.stopped else "done"
     finally:
         upstream.running.pop((submission, index), None)
@@ -235,9 +235,9 @@
     except msgspec.MsgspecError as error:
         return web.json_response({"error": str(error)}, status=400)
     if upstream.faults.frozen:
-        upstream.thawed.clear()
+        upstream.unfrozen.clear()
     else:
-        upstream.thawed.set()
+        upstream.unfrozen.set()
     return web.json_response(msgspec.to_builtins(upstream.faults))
 
 
@@ -294,7 +294,7 @@
     timeout = aiohttp.ClientTimeout(total=ANNOUNCE_TIMEOUT_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         while True:
-            await upstream.thawed.wait()
+            await upstream.unfrozen.wait()
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 address = f"{options.agent}/announce"
                 async with session.post(address, json=announcement) as response:
@@ -308,7 +308,7 @@
     timeout = aiohttp.ClientTimeout(total=ANNOUNCE_EVERY_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         while True:
-            await upstream.thawed.wait()
+            await upstream.unfrozen.wait()
             tasks = [
                 {
                     "submission": submission,
--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -61,7 +61,7 @@
     slots: int = 8
     connections: int = 64
     memory_mb: int = 0
-    saves: bool = False
+    can_checkpoint: bool = False
     labels: dict[str, str] = {}
 
 
@@ -194,12 +194,12 @@
         """Make the key-value stand-in right again."""
         self._switch("keyvalue", "DELETE", "faults", None)
 
-    def set_links(self, names: list[str], **conduct: object) -> None:
+    def set_link_faults(self, names: list[str], **conduct: object) -> None:
         """Change how what is sent to these processes arrives."""
         links = {name: conduct for name in names}
         self._switch("network", "POST", "links", links)
 
-    def clear_links(self) -> None:
+    def clear_link_faults(self) -> None:
         """Make all links of the network stand-in right again."""
         self._switch("network", "DELETE", "links", None)
 
@@ -326,7 +326,7 @@
         arguments = ["standins.upstream"]
         for option, value in options.items():
             arguments += [f"--{option}", str(value)]
-        if worker.saves:
+        if worker.can_checkpoint:
             arguments.append("--saves")
         self._add(upstream, arguments)
 
--- a/tools/demo_dispatch.py
+++ b/tools/demo_dispatch.py
@@ -11,7 +11,7 @@
 
 import click
 
-from tools.deployment import Deployment, Pending
+from tools.deployment import Deployment, PendingCall
 from tools.processes import wait_until
 
 __all__ = ["main"]
@@ -52,13 +52,13 @@
         return sum(map(_done, jobs)), time.monotonic() - began
 
 
-def _done(job: Pending) -> bool:
+def _done(job: PendingCall) -> bool:
     return job.result is not None and job.result[1].get("state") == "completed"
 
 
 def _send_again(
-    deployment: Deployment, names: list[str], jobs: list[Pending]
-) -> list[Pending]:
+    deployment: Deployment, names: list[str], jobs: list[PendingCall]
+) -> list[PendingCall]:
     """Do what callers do whose connections broke."""
     if all(job.result is not None for job in jobs):
         return jobs
@@ -87,7 +87,10 @@
 
 ACTS = [
     Act("a calm moment"),
-    Act("the store falls silent", lambda deployment: deployment.fault("silent")),
+    Act(
+        "the store falls silent",
+        lambda deployment: deployment.set_store_fault("silent"),
+    ),
     Act("an agent is killed and started again", _kill_agent),
     Act("an entry is killed; its callers come back", _kill_entry),
 ]
@@ -104,8 +107,8 @@
             count, seconds = act.play(deployment, identifiers)
             done += count
             click.echo(f"{act.title:45} {count:3} of {JOBS} jobs in {seconds:.1f} s")
-        overlaps = deployment.overlaps()
-        starts = len(deployment.started())
+        overlaps = deployment.find_overlaps()
+        starts = len(deployment.list_started_tasks())
     wanted = len(ACTS) * JOBS
     click.echo(
         f"{starts} starts for {wanted * TASKS} tasks, {len(overlaps)} overlapped"
--- a/tools/deployment.py
+++ b/tools/deployment.py
@@ -33,7 +33,7 @@
 CALL_SECONDS = 15.0
 
 
-def configuration(version: int = 1, **changes) -> dict:
+def make_configuration(version: int = 1, **changes) -> dict:
     """Return the operator's configuration with one queue."""
     route = {
         "name": "checks",
@@ -151,7 +151,7 @@
         put = {"key": "op/config", "value": json.dumps(body)}
         call_json(f"{self.store_url}/put", put)
 
-    def fault(self, mode: str, served: tuple[str, ...] = ()) -> None:
+    def set_store_fault(self, mode: str, served: tuple[str, ...] = ()) -> None:
         """Switch a fault of the store on, or all off."""
         body = {"mode": mode, "except": list(served)}
         call_json(f"{self.store_url}/fault", body)
@@ -159,7 +159,7 @@
     def wait_ready(self) -> None:
         """Wait until every entry knows its queues and hears every agent."""
         wait_until(self._store_answers, READY_SECONDS, "the store")
-        self.write_configuration(configuration())
+        self.write_configuration(make_configuration())
         for number in range(self.entries):
             wait_until(
                 lambda number=number: self.is_ready(number),
@@ -197,12 +197,12 @@
     ) -> tuple[int, dict, dict]:
         """Hand a best-effort job in and wait for its answer."""
         name = identifier or f"{next(self.identifiers):016x}"
-        body = job_body(tasks, ms, **spec)
+        body = make_job_body(tasks, ms, **spec)
         return call_json(self.caller_url(entry) + name, body, host=HOST)
 
-    def submit_later(self, entry: int, tasks: int, ms: int, **spec) -> "Pending":
+    def submit_later(self, entry: int, tasks: int, ms: int, **spec) -> "PendingCall":
         """Hand a job in on a thread of its own."""
-        pending = Pending(lambda: self.submit(entry, tasks, ms, **spec))
+        pending = PendingCall(lambda: self.submit(entry, tasks, ms, **spec))
         pending.start()
         return pending
 
@@ -216,12 +216,12 @@
         put = {"key": f"op/evacuate/{data_centre}", "value": "{}"}
         call_json(f"{self.store_url}/put", put)
 
-    def take_back(self, data_centre: str) -> None:
+    def end_evacuation(self, data_centre: str) -> None:
         """End the evacuation of a data centre."""
         key = {"key": f"op/evacuate/{data_centre}"}
         call_json(f"{self.store_url}/revoke", key)
 
-    def started(self, *workers: int) -> list[str]:
+    def list_started_tasks(self, *workers: int) -> list[str]:
         """Return the task of each run that workers' stand-ins have begun.
 
         :param workers: numbers of those to look at; all of them by default.
@@ -233,12 +233,12 @@
             if line["what"] == "began"
         ]
 
-    def worker_fault(self, worker: int, **faults: bool) -> None:
+    def set_worker_faults(self, worker: int, **faults: bool) -> None:
         """Switch a worker's faults."""
         url = f"http://{self.worker_host(worker)}:{self.ports['app']}/fault"
         call_json(url, faults)
 
-    def overlaps(self) -> list[str]:
+    def find_overlaps(self) -> list[str]:
         """Return the tasks of which two runs overlapped, by the workers' records."""
         lines = sorted(
             (line["at"], number, line["task"], line["run"], line["what"])
@@ -321,14 +321,14 @@
 """
 
 
-def job_body(tasks: int, ms: int, **spec) -> dict:
+def make_job_body(tasks: int, ms: int, **spec) -> dict:
     """Return a best-effort job of one step."""
     step = {"count": tasks, "cpu": 1000, "mem_mb": 64, "estimated_ms": ms}
     text = json.dumps({"ms": ms, "cpu": 1000} | spec)
     return {"spec": text, "steps": [step], "best_effort": True}
 
 
-class Pending(threading.Thread):
+class PendingCall(threading.Thread):
     """A call that is under way; ``result`` is None if it had no answer."""
 
     def __init__(self, call) -> None:
--- a/tools/in_force_processes.py
+++ b/tools/in_force_processes.py
@@ -15,7 +15,7 @@
 import numpy
 
 from cactuswalk.commands.operator_client import EntryClient
-from features.process_faults_load import PATIENCE_S, small_cluster
+from features.process_faults_load import MAX_WAIT_S, small_cluster
 from tools.cluster import OPERATOR, Cluster, token_of
 from tools.tables import table
 
@@ -49,7 +49,7 @@
         await asyncio.to_thread(cluster.set_keyvalue_faults, down=True)
     revision, nodes = reply.fields["revision"], len(cluster.workers)
     while not await is_everywhere(client, revision, nodes):
-        if time.monotonic() > accepted + PATIENCE_S:
+        if time.monotonic() > accepted + MAX_WAIT_S:
             raise click.ClickException(f"revision {revision} is not in force")
         await asyncio.sleep(POLL_S)
     took = time.monotonic() - accepted
@@ -78,7 +78,7 @@
 def main(workers: int, changes: int, outage: bool) -> None:
     """Print p50, p99 and max over the changes."""
     with small_cluster(workers) as cluster:
-        cluster.wait_ready(timeout_s=2 * PATIENCE_S)
+        cluster.wait_ready(timeout_s=2 * MAX_WAIT_S)
         times = numpy.array(asyncio.run(measure(cluster, changes, outage)))
     figures = [f"{numpy.percentile(times, part):.3f}" for part in (50, 99, 100)]
     row = [workers, changes, "yes" if outage else "no", *figures]
--- a/tools/last_start.py
+++ b/tools/last_start.py
@@ -19,11 +19,11 @@
 import click
 
 from features.process_faults_load import (
-    PATIENCE_S,
+    MAX_WAIT_S,
     Load,
-    faults_found,
-    lookups_of,
-    owner_of,
+    find_faults,
+    find_idempotent_submissions,
+    find_owner,
 )
 from tools.cluster import OPERATOR, Cluster, Worker, token_of
 from tools.processes import ROOT, wait_until
@@ -88,7 +88,7 @@
 
     def restart_upstream(self) -> None:
         """Start the upstream again once it has ended."""
-        self.upstream().wait(PATIENCE_S)
+        self.upstream().wait(MAX_WAIT_S)
         self.upstream().start()
 
     def restart_host(self) -> None:
@@ -98,7 +98,7 @@
 
     def thaw_agent(self) -> None:
         """Let the agent go on."""
-        self.agent().thaw()
+        self.agent().unfreeze()
 
     def drain(self) -> None:
         """Drain the worker by the operators' command."""
@@ -113,7 +113,7 @@
     "upstream killed": (lambda scene: scene.upstream().kill(), Scene.restart_upstream),
     "upstream frozen": (
         lambda scene: scene.upstream().freeze(),
-        lambda scene: scene.upstream().thaw(),
+        lambda scene: scene.upstream().unfreeze(),
     ),
     "upstream withdraws": (Scene.withdraw, Scene.restart_upstream),
     "agent killed": (
@@ -192,7 +192,7 @@
     FAULTS[fault][1](scene)
     wait_until(
         lambda: sum(one > mended_at for one in began(scene)) >= STARTS_TO_BE_BACK,
-        PATIENCE_S,
+        MAX_WAIT_S,
         f"work on {scene.worker} after '{fault}'",
     )
 
@@ -202,7 +202,7 @@
     with Cluster(2, members) as cluster:
         cluster.wait_ready()
         wait_served(cluster)
-        worker = [name for name in cluster.workers if name != owner_of(cluster)][-1]
+        worker = [name for name in cluster.workers if name != find_owner(cluster)][-1]
         scene = Scene(cluster, worker)
         load = Load(cluster)
         load.start()
@@ -212,7 +212,7 @@
             mend(scene, fault)
             found.append(measure(scene, fault))
         sent = load.finish()
-        wrong = faults_found(sent, cluster, lookups_of(sent))
+        wrong = find_faults(sent, cluster, find_idempotent_submissions(sent))
     for one in wrong:
         click.echo(f"FAULT {one}", err=True)
     if wrong:
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -124,7 +124,7 @@
         """Pause it without its knowing."""
         self._running().send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def unfreeze(self) -> None:
         """Let a frozen process go on."""
         self._running().send_signal(signal.SIGCONT)
 
--- a/tools/rolling.py
+++ b/tools/rolling.py
@@ -13,11 +13,11 @@
 import click
 
 from features.process_faults_load import (
-    PATIENCE_S,
+    MAX_WAIT_S,
     Load,
-    ask,
-    faults_found,
-    owner_of,
+    find_faults,
+    find_owner,
+    send_request,
     small_cluster,
 )
 from tools.cluster import Cluster
@@ -47,13 +47,13 @@
 
     :param twice: ask a second time while it stops.
     """
-    was_owner = name == f"agent-{owner_of(cluster)}"
+    was_owner = name == f"agent-{find_owner(cluster)}"
     began = time.monotonic()
     cluster[name].terminate()
     if twice:
         time.sleep(0.2)
         cluster[name].terminate()
-    status = cluster[name].wait(PATIENCE_S)
+    status = cluster[name].wait(MAX_WAIT_S)
     stop_s = time.monotonic() - began
     cluster.restart(name)
     return Replaced(name, status, stop_s, was_owner)
@@ -62,7 +62,7 @@
 def wait_back(cluster: Cluster, name: str) -> None:
     """Return once a replaced process serves again."""
     if name in cluster.urls and not name.startswith(("upstream", "keyvalue")):
-        cluster.wait_ready(name, timeout_s=PATIENCE_S)
+        cluster.wait_ready(name, timeout_s=MAX_WAIT_S)
     time.sleep(SETTLED_S)
 
 
@@ -93,8 +93,8 @@
     """Return once each entry answers."""
     for entry in range(len(cluster.entry_names)):
         wait_until(
-            lambda entry=entry: ask(cluster, entry).outcome == "answered",
-            PATIENCE_S,
+            lambda entry=entry: send_request(cluster, entry).outcome == "answered",
+            MAX_WAIT_S,
             f"an answer through entry {entry + 1}",
         )
 
@@ -112,7 +112,7 @@
         load.wait_answered(15)
         done = [one for _ in range(rounds) for one in roll(cluster)]
         sent = load.finish()
-        found = faults_found(sent, cluster)
+        found = find_faults(sent, cluster)
     rows = []
     for kind in ("entry", "agent", "upstream"):
         of_kind = [one for one in done if one.name.startswith(kind)]
@@ -122,10 +122,12 @@
         rows.append([kind, len(of_kind), owners, statuses, f"{longest:.2f}"])
     click.echo(table(["process", "stops", "owner's", "statuses", "longest s"], rows))
     refused = refusals_of(sent)
-    click.echo(f"{len(sent)} sent, {load.broken} cut off, refused: {refused or 'none'}")
+    click.echo(
+        f"{len(sent)} sent, {load.disconnects} cut off, refused: {refused or 'none'}"
+    )
     for fault in found:
         click.echo(f"FAULT {fault}")
-    wrong = found or refused or load.broken or any(one.status for one in done)
+    wrong = found or refused or load.disconnects or any(one.status for one in done)
     sys.exit(1 if wrong else 0)
 
 
--- a/tools/soak_processes.py
+++ b/tools/soak_processes.py
@@ -141,7 +141,7 @@
         self.faults.append(f"freeze {name}")
         self.deployment[name].freeze()
         time.sleep(self.generator.uniform(0.1, FREEZE_SECONDS))
-        self.deployment[name].thaw()
+        self.deployment[name].unfreeze()
 
     def _stop(self) -> None:
         name = self._process()
@@ -159,27 +159,27 @@
     def _store(self) -> None:
         mode = self.generator.choice(STORE_MODES)
         self.faults.append(f"store {mode}")
-        self.deployment.fault(mode)
+        self.deployment.set_store_fault(mode)
         time.sleep(self.generator.uniform(0.2, 2.0))
-        self.deployment.fault("")
+        self.deployment.set_store_fault("")
 
     def _worker(self) -> None:
         number = self.generator.randrange(WORKERS)
         mode = self.generator.choice(WORKER_MODES)
         self.faults.append(f"worker {number} {mode}")
-        self.deployment.worker_fault(number, **{mode: True})
+        self.deployment.set_worker_faults(number, **{mode: True})
         time.sleep(self.generator.uniform(0.2, 1.5))
-        self.deployment.worker_fault(number)
+        self.deployment.set_worker_faults(number)
 
     # Verdict.
 
     def _judge(self) -> list[str]:
-        broken = [f"twice at once: {task}" for task in self.deployment.overlaps()]
+        broken = [f"twice at once: {task}" for task in self.deployment.find_overlaps()]
         for name, process in self.deployment.processes.items():
             _, found, rest = process.tail(1_000_000).partition("Traceback")
             if found:
                 broken.append(f"{name} raised: {rest[:2000]}")
-        ran = {task.partition(".")[0] for task in self.deployment.started()}
+        ran = {task.partition(".")[0] for task in self.deployment.list_started_tasks()}
         for job in self.jobs:
             if not job.statuses[-1]:
                 broken.append(f"no answer: {job.name} {job.statuses}")
--- a/tools/takeover.py
+++ b/tools/takeover.py
@@ -10,7 +10,7 @@
 
 import click
 
-from features.process_faults_load import ask, owner_of, small_cluster
+from features.process_faults_load import find_owner, send_request, small_cluster
 from tools.cluster import Cluster
 from tools.rolling import wait_served
 from tools.tables import table
@@ -23,14 +23,14 @@
 
     :param how: ``kill`` or ``terminate``.
     """
-    agent = cluster[f"agent-{owner_of(cluster)}"]
+    agent = cluster[f"agent-{find_owner(cluster)}"]
     began = time.monotonic()
     if how == "kill":
         agent.kill()
     else:
         agent.terminate()
         agent.wait()
-    while ask(cluster).outcome != "answered":
+    while send_request(cluster).outcome != "answered":
         pass
     return time.monotonic() - began
 
