--- a/src/cactuswalk/http/announcements.py
+++ b/src/cactuswalk/http/announcements.py
@@ -7,7 +7,7 @@
 import msgspec
 from aiohttp import web
 
-from cactuswalk.http.health import add_health
+from cactuswalk.http.health import add_health_routes
 from cactuswalk.http.middleware import problem_middleware
 from cactuswalk.http.problems import InputCode, Problem, problem_response
 from cactuswalk.http.upstream import UpstreamClient
@@ -21,11 +21,11 @@
 # taken for gone. The goal is two seconds from its death to the last start that is
 # sent to it: the rest is left for the word to reach the owner. A renewal costs
 # about 0.3 ms of processor time at both ends, on the loopback.
-RENEW_MS = 500
+RENEWAL_INTERVAL_MS = 500
 ANNOUNCEMENT_TTL_SECONDS = 1.75
 
 # An announcement is a few hundred bytes.
-MAXIMUM_ANNOUNCE_BYTES = 64 << 10
+MAX_ANNOUNCEMENT_BYTES = 64 << 10
 
 
 # As names in settings: they go into selectors, metric names and logs.
@@ -90,14 +90,14 @@
         self.on_event = on_event
         self.body: AnnounceBody | None = None
         self.serial = 0
-        self.expiry: asyncio.TimerHandle | None = None
+        self.expiry_timer: asyncio.TimerHandle | None = None
         client.on_refused = self.withdraw
 
     def announce(self, body: AnnounceBody) -> None:
         """Take an announcement or its renewal."""
-        self.stop_expiry()
+        self.cancel_expiry()
         loop = asyncio.get_running_loop()
-        self.expiry = loop.call_later(self.ttl_seconds, self.withdraw)
+        self.expiry_timer = loop.call_later(self.ttl_seconds, self.withdraw)
         if body == self.body:
             return
         self.body = body
@@ -110,17 +110,17 @@
 
         Its address is kept: what it still runs has to be stopped there.
         """
-        self.stop_expiry()
+        self.cancel_expiry()
         if self.body is None:
             return
         self.body = None
         self.on_event(Announced(None))
 
-    def stop_expiry(self) -> None:
+    def cancel_expiry(self) -> None:
         """Forget the timer."""
-        if self.expiry is not None:
-            self.expiry.cancel()
-            self.expiry = None
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
+            self.expiry_timer = None
 
     def _announcement(self, body: AnnounceBody) -> Announcement:
         # The agent's own labels win: an upstream can't move itself to where a
@@ -169,7 +169,7 @@
             )
             return problem_response(problem)
         presence.announce(body)
-        return web.json_response({"renew_within_ms": RENEW_MS})
+        return web.json_response({"renew_within_ms": RENEWAL_INTERVAL_MS})
 
     async def report_usage(request: web.Request) -> web.Response:
         try:
@@ -188,16 +188,16 @@
         return web.Response(status=204)
 
     async def on_cleanup(application: web.Application) -> None:
-        presence.stop_expiry()
+        presence.cancel_expiry()
 
     application = web.Application(
-        client_max_size=MAXIMUM_ANNOUNCE_BYTES, middlewares=[problem_middleware]
+        client_max_size=MAX_ANNOUNCEMENT_BYTES, middlewares=[problem_middleware]
     )
     application.router.add_post("/announce", announce)
     application.router.add_post("/usage", report_usage)
     application.router.add_delete("/announce", withdraw)
     application.on_cleanup.append(on_cleanup)
-    add_health(application, not_ready)
+    add_health_routes(application, not_ready)
     return application
 
 
--- a/src/cactuswalk/http/answers.py
+++ b/src/cactuswalk/http/answers.py
@@ -9,7 +9,7 @@
 from cactuswalk.http.problems import (
     InputCode,
     Problem,
-    problem_of_refusal,
+    make_refusal_problem,
     problem_response,
 )
 from cactuswalk.messages import JobState
@@ -41,14 +41,14 @@
         if not job.request:
             problem.upstream_status = 0
         return problem_response(problem, headers)
-    check_whole(job, reply)
+    check_complete(job, reply)
     if job.request:
-        return _answer_request(reply.results[0], headers)
+        return _pass_answer_on(reply.results[0], headers)
     body = msgspec.json.encode(describe_answer(key, reply.results))
     return web.Response(body=body, content_type="application/json", headers=headers)
 
 
-def check_whole(job: Job, reply: Reply) -> None:
+def check_complete(job: Job, reply: Reply) -> None:
     """Raise unless the reply has a result of every task, in order, all done.
 
     A mixed-up or partial answer would give one caller another's seat or a
@@ -74,7 +74,7 @@
     Bodies are left out: part of an answer must not pass for one.
     """
     if refusal is not None:
-        problem = problem_of_refusal(outcome, refusal)
+        problem = make_refusal_problem(outcome, refusal)
     elif outcome is Outcome.FAILED:
         problem = Problem(RefusalCode.UPSTREAM_FAILED.value, "a task failed", outcome)
     else:
@@ -118,7 +118,7 @@
     """Return where a submission stands, to be encoded as JSON."""
     described: dict[str, object] = {
         "submission": key,
-        "state": _name_of(state),
+        "state": _state_name(state),
         "tasks": {
             "total": state.total,
             "queued": state.queued,
@@ -138,13 +138,13 @@
     return described
 
 
-def _name_of(state: JobState) -> str:
+def _state_name(state: JobState) -> str:
     if state.answer is not None:
         return "finished"
     return "running" if state.running or state.finished else "queued"
 
 
-def _answer_request(result: TaskResult, headers: dict[str, str]) -> web.Response:
+def _pass_answer_on(result: TaskResult, headers: dict[str, str]) -> web.Response:
     """Pass the upstream's answer on as it is."""
     status = result.status if 200 <= result.status < 600 else 200
     if status in (204, 304):
--- a/src/cactuswalk/http/bodies.py
+++ b/src/cactuswalk/http/bodies.py
@@ -7,18 +7,24 @@
 from aiohttp import web
 
 from cactuswalk.http.headers import (
-    MAXIMUM_ACCELERATORS,
-    MAXIMUM_DURATION_MS,
-    MAXIMUM_MEMORY_MB,
+    MAX_ACCELERATORS,
+    MAX_DURATION_MS,
+    MAX_MEMORY_MB,
+    check_affinity_key,
     check_selector,
-    check_specialised_key,
-    refuse,
+    make_problem_error,
 )
 from cactuswalk.http.problems import InputCode
 from cactuswalk.model import Job, TaskSpec, digest
 from cactuswalk.model.job import MAXIMUM_TASKS
 
-__all__ = ["JobBody", "fingerprint", "read_body", "read_job", "read_request_task"]
+__all__ = [
+    "JobBody",
+    "compute_fingerprint",
+    "read_body",
+    "read_job",
+    "read_request_task",
+]
 
 # A caller that sends its body slower than this holds a place for nothing: even
 # a body at the limit takes well under a second at 1 ms latency.
@@ -40,9 +46,9 @@
     """A task as a caller writes it; the body is kept byte for byte."""
 
     body: msgspec.Raw
-    duration_ms: Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_DURATION_MS)] = 0
-    memory_mb: Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_MEMORY_MB)] = 0
-    accelerators: Annotated[int, msgspec.Meta(ge=0, le=MAXIMUM_ACCELERATORS)] = 0
+    duration_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_DURATION_MS)] = 0
+    memory_mb: Annotated[int, msgspec.Meta(ge=0, le=MAX_MEMORY_MB)] = 0
+    accelerators: Annotated[int, msgspec.Meta(ge=0, le=MAX_ACCELERATORS)] = 0
 
 
 class JobBody(msgspec.Struct, forbid_unknown_fields=True):
@@ -63,18 +69,24 @@
     :raises ProblemError: if it is something else, too long or not whole.
     """
     if request.headers.get("Content-Encoding", "identity").lower() != "identity":
-        raise refuse(InputCode.UNSUPPORTED_MEDIA_TYPE, "the body is encoded")
+        raise make_problem_error(
+            InputCode.UNSUPPORTED_MEDIA_TYPE, "the body is encoded"
+        )
     if request.content_type not in ACCEPTED_TYPES:
-        raise refuse(
+        raise make_problem_error(
             InputCode.UNSUPPORTED_MEDIA_TYPE, f"the body is {request.content_type}"
         )
     try:
         async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             return await request.read()
     except TimeoutError:
-        raise refuse(InputCode.INCOMPLETE_BODY, "the body came too slowly") from None
+        raise make_problem_error(
+            InputCode.INCOMPLETE_BODY, "the body came too slowly"
+        ) from None
     except web.RequestPayloadError as error:
-        raise refuse(InputCode.INCOMPLETE_BODY, "the body is broken") from error
+        raise make_problem_error(
+            InputCode.INCOMPLETE_BODY, "the body is broken"
+        ) from error
 
 
 def read_request_task(
@@ -89,14 +101,16 @@
     """Return the tasks, the selector and the key of a job."""
     job = _decode(_job_decoder, body)
     if not job.tasks:
-        raise refuse(InputCode.EMPTY_JOB, "the job has no tasks")
+        raise make_problem_error(InputCode.EMPTY_JOB, "the job has no tasks")
     if len(job.tasks) > MAXIMUM_TASKS:
-        raise refuse(InputCode.TOO_MANY_TASKS, f"the job has {len(job.tasks)} tasks")
+        raise make_problem_error(
+            InputCode.TOO_MANY_TASKS, f"the job has {len(job.tasks)} tasks"
+        )
     tasks = [
         TaskSpec(bytes(task.body), task.duration_ms, task.memory_mb, task.accelerators)
         for task in job.tasks
     ]
-    return tasks, check_selector(job.selector), check_specialised_key(job.key)
+    return tasks, check_selector(job.selector), check_affinity_key(job.key)
 
 
 def _decode(decoder: msgspec.json.Decoder, body: bytes):
@@ -106,16 +120,16 @@
         body.decode("utf-8")
         return decoder.decode(body)
     except msgspec.ValidationError as error:
-        raise refuse(InputCode.MALFORMED_JOB, str(error)) from error
+        raise make_problem_error(InputCode.MALFORMED_JOB, str(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         detail = f"the body is no JSON: {error}"
-        raise refuse(InputCode.MALFORMED_JSON, detail) from error
+        raise make_problem_error(InputCode.MALFORMED_JSON, detail) from error
     except RecursionError as error:
         detail = "the body is nested too deeply"
-        raise refuse(InputCode.MALFORMED_JSON, detail) from error
+        raise make_problem_error(InputCode.MALFORMED_JSON, detail) from error
 
 
-def fingerprint(job: Job, first_sent_ms: int, template: str = "") -> bytes:
+def compute_fingerprint(job: Job, first_sent_ms: int, template: str = "") -> bytes:
     """Return a digest of all that a resubmission has to repeat.
 
     The deadline is left out, since less of it is left each time; the caller is,
--- a/src/cactuswalk/http/callers.py
+++ b/src/cactuswalk/http/callers.py
@@ -13,7 +13,7 @@
 from cactuswalk.errors import InvariantError
 from cactuswalk.http.answers import answer_submission, describe_state
 from cactuswalk.http.bodies import (
-    fingerprint,
+    compute_fingerprint,
     read_body,
     read_job,
     read_request_task,
@@ -22,18 +22,18 @@
     JOB_HEADERS,
     REQUEST_HEADERS,
     SubmissionKey,
-    is_key,
+    is_valid_key,
+    make_problem_error,
+    read_async_wait,
     read_deadline_ms,
     read_declared_work,
-    read_key,
-    refuse,
-    refuse_unknown_headers,
-    wants_async,
+    read_submission_key,
+    reject_unknown_headers,
 )
-from cactuswalk.http.health import add_health
+from cactuswalk.http.health import add_health_routes
 from cactuswalk.http.middleware import problem_middleware
 from cactuswalk.http.problems import InputCode, Problem, ProblemError
-from cactuswalk.http.templates import FindTemplate, fill, read_template
+from cactuswalk.http.templates import FindTemplate, apply_template, read_template
 from cactuswalk.messages import JobState
 from cactuswalk.model import Job, Outcome, RefusalCode, mint, submission_name
 from cactuswalk.model.configuration import JobTemplate
@@ -74,7 +74,7 @@
     find_template: FindTemplate = lambda name: None
 
 
-class CallersEdge:
+class CallerHandler:
     """The state of the callers' interface: who waits, and what serves them."""
 
     def __init__(
@@ -88,11 +88,11 @@
         self.entry = entry
         self.wall_clock = wall_clock
         self.generator = generator
-        self.waiters = itertools.count(1)
-        self.waiting = 0
+        self.waiter_ids = itertools.count(1)
+        self.waiting_count = 0
         self.background: set[asyncio.Task] = set()
 
-    def identify(self, request: web.Request) -> CallerIdentity:
+    def authenticate(self, request: web.Request) -> CallerIdentity:
         """Return whom the request's token stands for.
 
         Looking a digest up takes no longer for a token that is nearly right.
@@ -109,12 +109,12 @@
 
     async def submit_request(self, request: web.Request) -> web.Response:
         """Handle a single request."""
-        arrived = time.monotonic()
-        identity = self.identify(request)
-        refuse_unknown_headers(request, REQUEST_HEADERS)
+        arrived_at = time.monotonic()
+        identity = self.authenticate(request)
+        reject_unknown_headers(request, REQUEST_HEADERS)
         service = read_service(request)
         declared = read_declared_work(request)
-        template, key, deadline_ms = self._read_common(request, service)
+        template, key, deadline_ms = self._read_common_headers(request, service)
         task = read_request_task(
             await read_body(request),
             declared.duration_ms,
@@ -129,22 +129,22 @@
             tasks=[task],
             caller=identity.caller,
             selector=declared.selector,
-            key=declared.specialised_key,
+            key=declared.affinity_key,
             idempotent=declared.idempotent,
             request=True,
         )
-        event = self._event(job, template, key, deadline_ms, arrived)
-        return await self._wait(event)
+        event = self._make_event(job, template, key, deadline_ms, arrived_at)
+        return await self._submit_and_wait(event)
 
     async def submit_job(self, request: web.Request) -> web.Response:
         """Handle a job of several tasks."""
-        arrived = time.monotonic()
-        identity = self.identify(request)
-        refuse_unknown_headers(request, JOB_HEADERS)
+        arrived_at = time.monotonic()
+        identity = self.authenticate(request)
+        reject_unknown_headers(request, JOB_HEADERS)
         service = read_service(request)
-        template, key, deadline_ms = self._read_common(request, service)
-        wait_seconds = wants_async(request)
-        tasks, selector, specialised_key = read_job(await read_body(request))
+        template, key, deadline_ms = self._read_common_headers(request, service)
+        wait_seconds = read_async_wait(request)
+        tasks, selector, affinity_key = read_job(await read_body(request))
         job = Job(
             submission="",
             fingerprint=b"",
@@ -153,22 +153,22 @@
             tasks=tasks,
             caller=identity.caller,
             selector=selector,
-            key=specialised_key,
+            key=affinity_key,
         )
-        event = self._event(job, template, key, deadline_ms, arrived)
+        event = self._make_event(job, template, key, deadline_ms, arrived_at)
         if wait_seconds is None:
-            return await self._wait(event)
+            return await self._submit_and_wait(event)
         return await self._wait_in_background(event, wait_seconds)
 
     async def show_state(self, request: web.Request) -> web.Response:
         """Tell where a submission stands."""
-        identity = self.identify(request)
+        identity = self.authenticate(request)
         key, state = await self._query(identity, request)
         return _state_response(200, key, state)
 
     async def cancel(self, request: web.Request) -> web.Response:
         """Stop a submission: what has not started never will."""
-        identity = self.identify(request)
+        identity = self.authenticate(request)
         key, state = await self._query(identity, request)
         if state.answer is not None:
             return _state_response(200, key, state)
@@ -176,13 +176,13 @@
         self.entry.cancel(CallerCancelled(name))
         return _state_response(202, key, state)
 
-    def _read_common(
+    def _read_common_headers(
         self, request: web.Request, service: str
     ) -> tuple[JobTemplate | None, SubmissionKey, int]:
-        self._refuse_overload()
+        self._reject_overload()
         limits = self.settings.limits
         now_ms = int(self.wall_clock() * 1000)
-        key = read_key(request, now_ms, self.settings.retention_seconds)
+        key = read_submission_key(request, now_ms, self.settings.retention_seconds)
         template = read_template(request, service, self.entry.find_template)
         default_ms = limits.default_deadline_ms
         if template is not None and template.deadline_ms:
@@ -190,18 +190,18 @@
         deadline_ms = read_deadline_ms(request, default_ms, limits.maximum_deadline_ms)
         return template, key, deadline_ms
 
-    def _event(
+    def _make_event(
         self,
         job: Job,
         template: JobTemplate | None,
         key: SubmissionKey,
         deadline_ms: int,
-        arrived: float,
+        arrived_at: float,
     ) -> CallerSubmitted:
         """Return the event for a job; its body's time is taken off the deadline."""
-        remaining_ms = deadline_ms - int((time.monotonic() - arrived) * 1000)
+        remaining_ms = deadline_ms - int((time.monotonic() - arrived_at) * 1000)
         if remaining_ms <= 0:
-            raise refuse(
+            raise make_problem_error(
                 RefusalCode.DEADLINE_PASSED, "the deadline passed while the body came"
             )
         identifier, born_ms = key.key, key.born_ms
@@ -211,26 +211,26 @@
         job.submission = submission_name(job.team, identifier)
         job.born_ms = born_ms
         named = template.name if template is not None else ""
-        job.fingerprint = fingerprint(job, key.first_sent_ms, named)
+        job.fingerprint = compute_fingerprint(job, key.first_sent_ms, named)
         if template is not None:
-            fill(job, template)
-        waiter = f"{self.settings.name}/{next(self.waiters)}"
+            apply_template(job, template)
+        waiter = f"{self.settings.name}/{next(self.waiter_ids)}"
         return CallerSubmitted(waiter, job, key.minted, remaining_ms)
 
-    def _refuse_overload(self) -> None:
-        if self.waiting < self.settings.limits.waiting_requests:
+    def _reject_overload(self) -> None:
+        if self.waiting_count < self.settings.limits.waiting_requests:
             return
         problem = Problem(
             RefusalCode.OVERLOADED.value,
-            f"{self.waiting} requests wait at this entry",
+            f"{self.waiting_count} requests wait at this entry",
             retry_after_ms=OVERLOADED_RETRY_MS,
         )
         raise ProblemError(problem)
 
-    async def _wait(self, event: CallerSubmitted) -> web.Response:
+    async def _submit_and_wait(self, event: CallerSubmitted) -> web.Response:
         # Again, since others may have come while the body was read.
-        self._refuse_overload()
-        self.waiting += 1
+        self._reject_overload()
+        self.waiting_count += 1
         try:
             reply = await self.entry.submit(event)
         except asyncio.CancelledError:
@@ -239,7 +239,7 @@
             self.entry.caller_gone(CallerGone(event.waiter))
             raise
         finally:
-            self.waiting -= 1
+            self.waiting_count -= 1
         try:
             response = answer_submission(event.job, reply)
         except InvariantError:
@@ -251,9 +251,9 @@
     async def _wait_in_background(
         self, event: CallerSubmitted, wait_seconds: float
     ) -> web.Response:
-        waiting = asyncio.create_task(self._wait(event))
+        waiting = asyncio.create_task(self._submit_and_wait(event))
         self.background.add(waiting)
-        waiting.add_done_callback(self._forget)
+        waiting.add_done_callback(self._discard_background)
         seconds = wait_seconds or DEFAULT_ASYNC_WAIT_SECONDS
         done, _ = await asyncio.wait({waiting}, timeout=seconds)
         if done:
@@ -270,7 +270,7 @@
             },
         )
 
-    def _forget(self, waiting: asyncio.Task) -> None:
+    def _discard_background(self, waiting: asyncio.Task) -> None:
         self.background.discard(waiting)
         if not waiting.cancelled() and waiting.exception() is not None:
             self.entry.count("callers.background_failed")
@@ -280,8 +280,8 @@
     ) -> tuple[str, JobState]:
         key = request.match_info["key"]
         service = request.query.get("service", "")
-        if not is_key(key) or (service and not is_name(service)):
-            raise _not_found(key)
+        if not is_valid_key(key) or (service and not is_name(service)):
+            raise _not_found_error(key)
         name = submission_name(identity.team, key)
         state = await self.entry.query(name, service)
         if state is None:
@@ -293,7 +293,7 @@
             )
             raise ProblemError(problem)
         if not state.known:
-            raise _not_found(key)
+            raise _not_found_error(key)
         return key, state
 
 
@@ -301,7 +301,9 @@
     """Return the service in the path; whether it exists the entry knows."""
     service = request.match_info["service"]
     if not is_name(service):
-        raise refuse(RefusalCode.UNKNOWN_SERVICE, "the path names no service")
+        raise make_problem_error(
+            RefusalCode.UNKNOWN_SERVICE, "the path names no service"
+        )
     return service
 
 
@@ -316,20 +318,22 @@
     :param wall_clock: seconds since the Unix epoch, for births of keys only.
     :param generator: source of minted identifiers.
     """
-    edge = CallersEdge(settings, entry, wall_clock, generator or random.SystemRandom())
+    handler = CallerHandler(
+        settings, entry, wall_clock, generator or random.SystemRandom()
+    )
     application = web.Application(
         client_max_size=settings.limits.body_bytes, middlewares=[problem_middleware]
     )
     router = application.router
-    router.add_post("/v1/services/{service}/requests", edge.submit_request)
-    router.add_post("/v1/services/{service}/jobs", edge.submit_job)
-    router.add_get("/v1/jobs/{key}", edge.show_state)
-    router.add_delete("/v1/jobs/{key}", edge.cancel)
-    add_health(application, entry.not_ready)
+    router.add_post("/v1/services/{service}/requests", handler.submit_request)
+    router.add_post("/v1/services/{service}/jobs", handler.submit_job)
+    router.add_get("/v1/jobs/{key}", handler.show_state)
+    router.add_delete("/v1/jobs/{key}", handler.cancel)
+    add_health_routes(application, entry.not_ready)
     return application
 
 
-def _not_found(key: str) -> ProblemError:
+def _not_found_error(key: str) -> ProblemError:
     # No record does not mean that it never ran: it may be older than records.
     return ProblemError(
         Problem(
--- a/src/cactuswalk/http/headers.py
+++ b/src/cactuswalk/http/headers.py
@@ -16,14 +16,14 @@
     "DeclaredWork",
     "SubmissionKey",
     "check_selector",
-    "check_specialised_key",
-    "is_key",
+    "check_affinity_key",
+    "is_valid_key",
     "read_deadline_ms",
     "read_declared_work",
-    "read_key",
-    "refuse",
-    "refuse_unknown_headers",
-    "wants_async",
+    "read_submission_key",
+    "make_problem_error",
+    "reject_unknown_headers",
+    "read_async_wait",
 ]
 
 # How far the clock that made a key may be off ours. Hosts that keep their time
@@ -34,11 +34,11 @@
 CLOCK_MARGIN_MS = 10_000
 
 # A caller that speaks in seconds or counts of its own is bound by these.
-MAXIMUM_DURATION_MS = 3_600_000
-MAXIMUM_MEMORY_MB = 1 << 30
-MAXIMUM_ACCELERATORS = 1_000
-MAXIMUM_SELECTOR_LENGTH = 1_024
-MAXIMUM_SPECIALISED_KEY_LENGTH = 128
+MAX_DURATION_MS = 3_600_000
+MAX_MEMORY_MB = 1 << 30
+MAX_ACCELERATORS = 1_000
+MAX_SELECTOR_LENGTH = 1_024
+MAX_AFFINITY_KEY_LENGTH = 128
 
 JOB_HEADERS = frozenset(
     {"cactuswalk-deadline-ms", "cactuswalk-first-sent", "cactuswalk-template"}
@@ -52,12 +52,12 @@
     "cactuswalk-accelerators",
 }
 
-_KEY = re.compile(r"[A-Za-z0-9._:~-]{1,128}")
-_RFC3339 = re.compile(
+_KEY_PATTERN = re.compile(r"[A-Za-z0-9._:~-]{1,128}")
+_RFC3339_PATTERN = re.compile(
     r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d{1,6})?(Z|[+-]\d\d:\d\d)", re.ASCII
 )
-_WHOLE_NUMBER = re.compile(r"-?[0-9]{1,15}")
-_WAIT = re.compile(r"wait=([0-9]{1,5})")
+_INTEGER_PATTERN = re.compile(r"-?[0-9]{1,15}")
+_WAIT_PATTERN = re.compile(r"wait=([0-9]{1,5})")
 
 
 class SubmissionKey(msgspec.Struct, frozen=True):
@@ -78,33 +78,35 @@
 
     idempotent: bool
     selector: str
-    specialised_key: str
+    affinity_key: str
     duration_ms: int
     memory_mb: int
     accelerators: int
 
 
-def refuse(code: str, detail: str, remedy: str = "") -> ProblemError:
+def make_problem_error(code: str, detail: str, remedy: str = "") -> ProblemError:
     """Return the error that ends a request with nothing started."""
     return ProblemError(Problem(code, detail, remedy=remedy))
 
 
-def is_key(text: str) -> bool:
+def is_valid_key(text: str) -> bool:
     """Say whether a text can be an idempotency key."""
-    return _KEY.fullmatch(text) is not None
+    return _KEY_PATTERN.fullmatch(text) is not None
 
 
-def single(request: web.Request, name: str) -> str | None:
+def read_single_header(request: web.Request, name: str) -> str | None:
     """Return a header's value; one that stands twice says two things."""
     values = request.headers.getall(name, [])
     if not values:
         return None
     if len(values) > 1:
-        raise refuse(InputCode.INVALID_HEADER, f"{name} stands {len(values)} times")
+        raise make_problem_error(
+            InputCode.INVALID_HEADER, f"{name} stands {len(values)} times"
+        )
     return values[0].strip()
 
 
-def refuse_unknown_headers(request: web.Request, known: frozenset[str]) -> None:
+def reject_unknown_headers(request: web.Request, known: frozenset[str]) -> None:
     """Refuse headers of ours that mean nothing here.
 
     A misspelt or misplaced one would be passed over in silence, and the work
@@ -113,38 +115,40 @@
     for name in request.headers:
         lower = name.lower()
         if lower.startswith("cactuswalk-") and lower not in known:
-            raise refuse(
+            raise make_problem_error(
                 InputCode.INVALID_HEADER,
                 f"{lower} is no header of this path",
                 "Correct its name; in a job, put it into the body instead.",
             )
 
 
-def read_key(
+def read_submission_key(
     request: web.Request, now_ms: int, retention_seconds: int
 ) -> SubmissionKey:
     """Read ``Idempotency-Key`` and when it was born.
 
     :param now_ms: wall clock in milliseconds since the Unix epoch.
     """
-    written = single(request, "Idempotency-Key")
-    first_sent = single(request, "Cactuswalk-First-Sent")
-    if written is None:
+    value = read_single_header(request, "Idempotency-Key")
+    first_sent = read_single_header(request, "Cactuswalk-First-Sent")
+    if value is None:
         if first_sent is not None:
-            raise refuse(
+            raise make_problem_error(
                 InputCode.INVALID_HEADER,
                 "Cactuswalk-First-Sent means nothing without Idempotency-Key",
             )
         return SubmissionKey()
     # The draft writes it as a structured string, in quotes.
-    key = written
-    if len(written) >= 2 and written[0] == written[-1] == '"':
-        key = written[1:-1]
-    if not is_key(key):
-        raise refuse(InputCode.INVALID_KEY, "the idempotency key can't be used")
+    key = value
+    if len(value) >= 2 and value[0] == value[-1] == '"':
+        key = value[1:-1]
+    if not is_valid_key(key):
+        raise make_problem_error(
+            InputCode.INVALID_KEY, "the idempotency key can't be used"
+        )
     born, first_sent_ms = birth_ms(key), 0
     if born is None and first_sent is None:
-        raise refuse(
+        raise make_problem_error(
             InputCode.KEY_WITHOUT_BIRTH, f"{key} does not tell when it was made"
         )
     if born is None:
@@ -155,7 +159,7 @@
 
 def _check_birth(key: str, born: int, now_ms: int, retention_seconds: int) -> None:
     if born > now_ms + CLOCK_MARGIN_MS:
-        raise refuse(
+        raise make_problem_error(
             InputCode.KEY_FROM_FUTURE,
             f"{key} was made {born - now_ms} ms ahead of this entry's clock",
         )
@@ -170,33 +174,37 @@
         raise ProblemError(problem)
 
 
-def _read_time_ms(written: str) -> int:
+def _read_time_ms(value: str) -> int:
     name = "Cactuswalk-First-Sent"
     remedy = "Write a time as in 2026-12-02T22:00:00Z (RFC 3339)."
-    if not _RFC3339.fullmatch(written):
-        raise refuse(InputCode.INVALID_HEADER, f"{name} is no time", remedy)
+    if not _RFC3339_PATTERN.fullmatch(value):
+        raise make_problem_error(InputCode.INVALID_HEADER, f"{name} is no time", remedy)
     try:
-        moment = datetime.datetime.fromisoformat(written)
+        moment = datetime.datetime.fromisoformat(value)
         return int(moment.timestamp() * 1000)
     except (ValueError, OverflowError):
-        raise refuse(InputCode.INVALID_HEADER, f"{name} is no time", remedy) from None
+        raise make_problem_error(
+            InputCode.INVALID_HEADER, f"{name} is no time", remedy
+        ) from None
 
 
 def read_deadline_ms(request: web.Request, default_ms: int, maximum_ms: int) -> int:
     """Read how long the caller waits, from the arrival of the request."""
-    written = single(request, "Cactuswalk-Deadline-Ms")
-    if written is None:
+    value = read_single_header(request, "Cactuswalk-Deadline-Ms")
+    if value is None:
         return default_ms
     remedy = f"Give 1 to {maximum_ms} milliseconds, or leave the header out."
-    if not _WHOLE_NUMBER.fullmatch(written):
-        raise refuse(
+    if not _INTEGER_PATTERN.fullmatch(value):
+        raise make_problem_error(
             InputCode.INVALID_DEADLINE, "the deadline is no whole number", remedy
         )
-    deadline_ms = int(written)
+    deadline_ms = int(value)
     if deadline_ms <= 0:
-        raise refuse(RefusalCode.DEADLINE_PASSED, "the deadline has passed already")
+        raise make_problem_error(
+            RefusalCode.DEADLINE_PASSED, "the deadline has passed already"
+        )
     if deadline_ms > maximum_ms:
-        raise refuse(
+        raise make_problem_error(
             InputCode.INVALID_DEADLINE,
             f"{deadline_ms} ms are above this entry's maximum",
             remedy,
@@ -208,71 +216,77 @@
     """Read what a caller declares of a single request."""
     return DeclaredWork(
         idempotent=_read_boolean(request, "Cactuswalk-Idempotent"),
-        selector=check_selector(single(request, "Cactuswalk-Selector") or ""),
-        specialised_key=check_specialised_key(single(request, "Cactuswalk-Key") or ""),
-        duration_ms=_read_count(request, "Cactuswalk-Duration-Ms", MAXIMUM_DURATION_MS),
-        memory_mb=_read_count(request, "Cactuswalk-Memory-Mb", MAXIMUM_MEMORY_MB),
-        accelerators=_read_count(
-            request, "Cactuswalk-Accelerators", MAXIMUM_ACCELERATORS
+        selector=check_selector(
+            read_single_header(request, "Cactuswalk-Selector") or ""
+        ),
+        affinity_key=check_affinity_key(
+            read_single_header(request, "Cactuswalk-Key") or ""
         ),
+        duration_ms=_read_count(request, "Cactuswalk-Duration-Ms", MAX_DURATION_MS),
+        memory_mb=_read_count(request, "Cactuswalk-Memory-Mb", MAX_MEMORY_MB),
+        accelerators=_read_count(request, "Cactuswalk-Accelerators", MAX_ACCELERATORS),
     )
 
 
 def _read_boolean(request: web.Request, name: str) -> bool:
-    written = single(request, name)
-    if written not in (None, "?0", "?1"):
-        raise refuse(
+    value = read_single_header(request, name)
+    if value not in (None, "?0", "?1"):
+        raise make_problem_error(
             InputCode.INVALID_HEADER,
             f"{name} is neither ?1 nor ?0",
             "Write ?1 for true, ?0 for false (RFC 8941).",
         )
-    return written == "?1"
+    return value == "?1"
 
 
-def _read_count(request: web.Request, name: str, highest: int) -> int:
-    written = single(request, name)
-    if written is None:
+def _read_count(request: web.Request, name: str, maximum: int) -> int:
+    value = read_single_header(request, name)
+    if value is None:
         return 0
-    if not _WHOLE_NUMBER.fullmatch(written) or not 0 <= int(written) <= highest:
-        raise refuse(
+    if not _INTEGER_PATTERN.fullmatch(value) or not 0 <= int(value) <= maximum:
+        raise make_problem_error(
             InputCode.INVALID_HEADER,
             f"{name} is out of bounds",
-            f"Give a whole number from 0 to {highest}.",
+            f"Give a whole number from 0 to {maximum}.",
         )
-    return int(written)
+    return int(value)
 
 
-def check_selector(written: str) -> str:
+def check_selector(value: str) -> str:
     """Return a selector that can be read; an unreadable one is refused."""
-    if len(written) > MAXIMUM_SELECTOR_LENGTH:
-        raise refuse(
+    if len(value) > MAX_SELECTOR_LENGTH:
+        raise make_problem_error(
             InputCode.INVALID_SELECTOR,
-            f"the selector has {len(written)} characters",
-            f"Use at most {MAXIMUM_SELECTOR_LENGTH}.",
+            f"the selector has {len(value)} characters",
+            f"Use at most {MAX_SELECTOR_LENGTH}.",
         )
     try:
-        parse(written)
+        parse(value)
     except SelectorError as error:
-        raise refuse(InputCode.INVALID_SELECTOR, error.message, error.remedy) from error
-    return written
+        raise make_problem_error(
+            InputCode.INVALID_SELECTOR, error.message, error.remedy
+        ) from error
+    return value
 
 
-def check_specialised_key(written: str) -> str:
+def check_affinity_key(value: str) -> str:
     """Return a key that prefers a worker, if it is short and printable."""
-    if len(written) > MAXIMUM_SPECIALISED_KEY_LENGTH or not written.isprintable():
-        raise refuse(
+    if len(value) > MAX_AFFINITY_KEY_LENGTH or not value.isprintable():
+        raise make_problem_error(
             InputCode.INVALID_HEADER,
             "the key that prefers a worker can't be used",
-            f"Use up to {MAXIMUM_SPECIALISED_KEY_LENGTH} printable characters.",
+            f"Use up to {MAX_AFFINITY_KEY_LENGTH} printable characters.",
         )
-    return written
+    return value
 
 
-def wants_async(request: web.Request) -> float | None:
+def read_async_wait(request: web.Request) -> float | None:
     """Return the seconds to wait before 202 (RFC 7240); None without a wish."""
     preferences = ",".join(request.headers.getall("Prefer", []))
     words = [word.strip().lower() for word in re.split("[,;]", preferences)]
     if "respond-async" not in words:
         return None
-    waits = [int(found[1]) for word in words if (found := _WAIT.fullmatch(word))]
+    waits = [
+        int(found[1]) for word in words if (found := _WAIT_PATTERN.fullmatch(word))
+    ]
     return float(waits[0]) if waits else 0.0
--- a/src/cactuswalk/http/health.py
+++ b/src/cactuswalk/http/health.py
@@ -4,10 +4,10 @@
 
 from aiohttp import web
 
-__all__ = ["add_health"]
+__all__ = ["add_health_routes"]
 
 
-def add_health(
+def add_health_routes(
     application: web.Application, not_ready: Callable[[], list[str]]
 ) -> None:
     """Serve ``/health`` (it answers at all) and ``/ready`` (give it work).
--- a/src/cactuswalk/http/middleware.py
+++ b/src/cactuswalk/http/middleware.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from cactuswalk.http.problems import (
-    CHANGING_GROUNDS,
+    RETRY_SENSITIVE_CODES,
     InputCode,
     Problem,
     ProblemError,
@@ -17,7 +17,7 @@
 
 logger = logging.getLogger(__name__)
 
-_CODES = {
+_CODE_BY_STATUS = {
     404: InputCode.NO_SUCH_PATH,
     405: InputCode.METHOD_NOT_ALLOWED,
     413: InputCode.BODY_TOO_LARGE,
@@ -30,9 +30,9 @@
     try:
         return await handler(request)
     except ProblemError as error:
-        return _refuse(request, error.problem, error.headers)
+        return _reject(request, error.problem, error.headers)
     except web.HTTPException as error:
-        return _of_http_exception(request, error)
+        return _convert_http_exception(request, error)
     except Exception:
         # A fault of the program. What it had started is not known here, so the
         # caller must not be told "not run".
@@ -43,20 +43,22 @@
         return problem_response(problem)
 
 
-def _of_http_exception(request: web.Request, error: web.HTTPException) -> web.Response:
-    code = _CODES.get(error.status, InputCode.INVALID_HEADER)
+def _convert_http_exception(
+    request: web.Request, error: web.HTTPException
+) -> web.Response:
+    code = _CODE_BY_STATUS.get(error.status, InputCode.INVALID_HEADER)
     headers = {}
     if "Allow" in error.headers:
         headers["Allow"] = error.headers["Allow"]
     detail = f"{request.method} {request.path}: {error.reason}"
-    return _refuse(request, Problem(code, detail), headers)
+    return _reject(request, Problem(code, detail), headers)
 
 
-def _refuse(
+def _reject(
     request: web.Request, problem: Problem, headers: dict[str, str]
 ) -> web.Response:
     """Answer for this request alone; an earlier copy of it may have run."""
-    if problem.code in CHANGING_GROUNDS and "Idempotency-Key" in request.headers:
+    if problem.code in RETRY_SENSITIVE_CODES and "Idempotency-Key" in request.headers:
         problem.outcome = Outcome.UNKNOWN
         problem.remedy = "Ask again with the same key; an earlier copy may have run."
     return problem_response(problem, headers)
--- a/src/cactuswalk/http/operators.py
+++ b/src/cactuswalk/http/operators.py
@@ -17,7 +17,7 @@
 
 from cactuswalk.errors import UsageError
 from cactuswalk.http.operators_cells import CellRetirement
-from cactuswalk.http.operators_changes import Accepted, ChangeRequest, ChangeWriter
+from cactuswalk.http.operators_changes import ChangeRequest, ChangeResult, ChangeWriter
 from cactuswalk.http.operators_errors import (
     MissingPreconditionError,
     ObjectNotFoundError,
@@ -42,7 +42,7 @@
 __all__ = ["OperatorsInterface", "make_operators_application"]
 
 # Two times the largest object, for callers that send it with white space.
-MAXIMUM_BODY_BYTES = 32_768
+MAX_BODY_BYTES = 32_768
 
 
 class OperatorsInterface(msgspec.Struct, kw_only=True):
@@ -80,21 +80,21 @@
     """Return the application that serves operators under ``/operator``."""
     application = web.Application(
         middlewares=[operators_problem_middleware, authenticate],
-        client_max_size=MAXIMUM_BODY_BYTES,
+        client_max_size=MAX_BODY_BYTES,
     )
     application[INTERFACE] = interface
     application[CHANGES] = ChangeWriter(
         interface.keys, interface.replica, interface.publish
     )
-    one = "/operator/objects/{kind}/{name}"
+    object_path = "/operator/objects/{kind}/{name}"
     application.add_routes(
         [
             web.get("/operator/objects", list_objects),
-            web.get(one, get_object),
-            web.put(one, put_object),
-            web.patch(one, patch_object),
-            web.delete(one, delete_object),
-            web.get(f"{one}/history", get_history),
+            web.get(object_path, get_object),
+            web.put(object_path, put_object),
+            web.patch(object_path, patch_object),
+            web.delete(object_path, delete_object),
+            web.get(f"{object_path}/history", get_history),
             web.post("/operator/cells/{cell}/retire", retire_cell),
             web.get("/operator/status", get_status),
             web.get("/operator/explain", get_explanation),
@@ -133,14 +133,14 @@
         value = decode_object(stored.value)
         if matches(selector, value.labels):
             found.append({"revision": stored.revision, "object": value})
-    return answer({"revision": replica.revision, "objects": found})
+    return json_response({"revision": replica.revision, "objects": found})
 
 
 async def get_object(request: web.Request) -> web.Response:
     """Return an object from this entry's copy, or from the service itself."""
-    key = key_of(request)
+    key = read_object_key(request)
     interface = request.app[INTERFACE]
-    if is_set(request, "fresh"):
+    if is_flag_set(request, "fresh"):
         current = await interface.keys.read(key)
         revision, value = current.revision, current.object
     else:
@@ -151,23 +151,23 @@
         raise ObjectNotFoundError(
             f"there is no {key}", "See `cactuswalk get` for what there is."
         )
-    return answer({"revision": revision, "object": value}, revision)
+    return json_response({"revision": revision, "object": value}, revision)
 
 
 async def put_object(request: web.Request) -> web.Response:
     """Create or replace an object."""
-    data = await body_of(request)
+    data = await read_json_body(request)
     named = {"kind": request.match_info["kind"], "name": request.match_info["name"]}
     wanted = check_object(data)
-    if object_key(wanted) != key_of(request):
+    if object_key(wanted) != read_object_key(request):
         remedy = f"make it {named['kind']}/{named['name']}, as in the address"
         raise ConfigurationError([Mistake("name", object_key(wanted), remedy)])
-    return await change(request, "replace", lambda before: wanted)
+    return await apply_change(request, "replace", lambda before: wanted)
 
 
 async def patch_object(request: web.Request) -> web.Response:
     """Change some fields of an object by a JSON merge patch (RFC 7396)."""
-    data = await body_of(request)
+    data = await read_json_body(request)
     if not isinstance(data, dict) or {"kind", "name"} & data.keys():
         remedy = "give an object of the fields to change, without kind and name"
         raise ConfigurationError([Mistake("(all)", "(patch)", remedy)])
@@ -175,32 +175,33 @@
     def make(before: OperatorObject | None) -> OperatorObject:
         if before is None:
             raise ObjectNotFoundError(
-                f"there is no {key_of(request)}", "Create it with `cactuswalk apply`."
+                f"there is no {read_object_key(request)}",
+                "Create it with `cactuswalk apply`.",
             )
         return check_object(merge_patch(msgspec.to_builtins(before), data))
 
-    return await change(request, "patch", make)
+    return await apply_change(request, "patch", make)
 
 
 async def delete_object(request: web.Request) -> web.Response:
     """Delete an object."""
-    return await change(request, "delete", lambda before: None)
+    return await apply_change(request, "delete", lambda before: None)
 
 
 async def get_history(request: web.Request) -> web.Response:
     """Return who changed an object, when and what; it lies in the service."""
-    current = await request.app[INTERFACE].keys.read(key_of(request))
+    current = await request.app[INTERFACE].keys.read(read_object_key(request))
     if not current.history:
         raise ObjectNotFoundError(
             f"there never was a {current.key}",
             "See `cactuswalk get` for what there is.",
         )
-    return answer({"key": current.key, "history": current.history})
+    return json_response({"key": current.key, "history": current.history})
 
 
 async def get_status(request: web.Request) -> web.Response:
     """Return the entry's view of the system."""
-    return answer(request.app[INTERFACE].status())
+    return json_response(request.app[INTERFACE].status())
 
 
 async def retire_cell(request: web.Request) -> web.Response:
@@ -208,18 +209,20 @@
     interface, cell = request.app[INTERFACE], request.match_info["cell"]
     to = request.query.get("to", "")
     store, heard, clock = interface.keys.store, interface.is_heard, interface.wall_ms
-    desk = CellRetirement(store, heard, clock)
+    retirement = CellRetirement(store, heard, clock)
     # A write that has begun ends also if the operator closes the connection.
-    done = await asyncio.shield(desk.retire(cell, to, is_set(request, "hosts_are_off")))
+    done = await asyncio.shield(
+        retirement.retire(cell, to, is_flag_set(request, "hosts_are_off"))
+    )
     interface.log("retired a cell", done | {"who": request[WHO]})
-    return answer(done)
+    return json_response(done)
 
 
 async def get_explanation(request: web.Request) -> web.Response:
     """Answer where a job may land."""
     query = dict(request.query)
     parse(query.get("selector", ""))
-    return answer(await request.app[INTERFACE].explain(query))
+    return json_response(await request.app[INTERFACE].explain(query))
 
 
 async def get_in_force(request: web.Request) -> web.Response:
@@ -233,10 +236,10 @@
     one = interface.in_force(int(text))
     fields = msgspec.to_builtins(one)
     fields["entry_in_force"] = interface.replica.holds(int(text))
-    return answer(fields)
+    return json_response(fields)
 
 
-async def change(
+async def apply_change(
     request: web.Request,
     action: str,
     make: Callable[[OperatorObject | None], OperatorObject | None],
@@ -244,31 +247,37 @@
     """Make a change, and log who asked for what and what became of it."""
     interface = request.app[INTERFACE]
     wanted = ChangeRequest(
-        *(key_of(request), expected_of(request), write_id_of(request)),
+        *(
+            read_object_key(request),
+            read_expected_revision(request),
+            read_write_id(request),
+        ),
         *(request[WHO], interface.wall_ms(), action, make),
-        dry_run=is_set(request, "dry_run"),
+        dry_run=is_flag_set(request, "dry_run"),
     )
     # An operator who closes the connection must not stop a write half-way: it
     # would have been made without having been spread or logged.
-    accepted = await asyncio.shield(make_logged(request.app, wanted))
+    accepted = await asyncio.shield(apply_and_log(request.app, wanted))
     created = accepted.written and wanted.expected == 0
-    return answer(accepted, accepted.revision, 201 if created else 200)
+    return json_response(accepted, accepted.revision, 201 if created else 200)
 
 
-async def make_logged(application: web.Application, wanted: ChangeRequest) -> Accepted:
+async def apply_and_log(
+    application: web.Application, wanted: ChangeRequest
+) -> ChangeResult:
     """Make a change and log its outcome."""
     interface = application[INTERFACE]
-    tell = functools.partial(tell_outcome, interface, wanted)
+    report_outcome = functools.partial(log_outcome, interface, wanted)
     try:
         accepted = await application[CHANGES].apply(wanted)
     except Exception as error:
-        tell(getattr(error, "code", "failed"), 0)
+        report_outcome(getattr(error, "code", "failed"), 0)
         raise
-    tell("accepted" if accepted.written else "not needed", accepted.revision)
+    report_outcome("accepted" if accepted.written else "not needed", accepted.revision)
     return accepted
 
 
-def tell_outcome(
+def log_outcome(
     interface: OperatorsInterface, wanted: ChangeRequest, outcome: str, revision: int
 ) -> None:
     """Log what became of a change."""
@@ -282,7 +291,7 @@
     interface.log(f"change {outcome}", fields)
 
 
-def key_of(request: web.Request) -> str:
+def read_object_key(request: web.Request) -> str:
     """Return the key in the address of a request."""
     kind, name = request.match_info["kind"], request.match_info["name"]
     check_kind(kind)
@@ -299,7 +308,7 @@
         raise ConfigurationError([Mistake("kind", kind, remedy)])
 
 
-def expected_of(request: web.Request) -> int:
+def read_expected_revision(request: web.Request) -> int:
     """Return the revision that a change builds on, 0 for a new object."""
     if request.headers.get("If-None-Match", "").strip() == "*":
         return 0
@@ -312,7 +321,7 @@
     )
 
 
-def write_id_of(request: web.Request) -> str:
+def read_write_id(request: web.Request) -> str:
     """Return the write id that the client gave, or a new one."""
     text = request.headers.get("Write-Id", "")
     if not text:
@@ -325,12 +334,12 @@
         ) from None
 
 
-def is_set(request: web.Request, name: str) -> bool:
+def is_flag_set(request: web.Request, name: str) -> bool:
     """Return whether a switch in the query is on."""
     return request.query.get(name, "") in ("1", "true", "yes")
 
 
-async def body_of(request: web.Request) -> object:
+async def read_json_body(request: web.Request) -> object:
     """Return the JSON in a request's body."""
     try:
         return json.loads(await request.read())
@@ -357,7 +366,7 @@
     return {name: value for name, value in merged.items() if value is not None}
 
 
-def answer(value: object, revision: int | None = None, status: int = 200):
+def json_response(value: object, revision: int | None = None, status: int = 200):
     """Return a response of JSON, with the revision as its entity tag."""
     headers = {} if revision is None else {"ETag": f'"{revision}"'}
     return web.Response(
--- a/src/cactuswalk/http/operators_changes.py
+++ b/src/cactuswalk/http/operators_changes.py
@@ -14,7 +14,7 @@
 from cactuswalk.http.operators_store import (
     Change,
     ConfigurationKeys,
-    Current,
+    CurrentObject,
     encode_stored,
 )
 from cactuswalk.messages import ConfigurationUpdate, StoredObject
@@ -22,12 +22,12 @@
 from cactuswalk.state.configuration import Replica
 from cactuswalk.state.events import SwapOutcome
 
-__all__ = ["Accepted", "ChangeRequest", "ChangeWriter", "difference"]
+__all__ = ["ChangeResult", "ChangeRequest", "ChangeWriter", "describe_difference"]
 
 # A line of history is for people; an object of many long labels would fill
 # the service's value with its own past.
-MAXIMUM_LINES = 20
-MAXIMUM_LINE = 200
+MAX_DIFFERENCE_LINES = 20
+MAX_DIFFERENCE_LINE_LENGTH = 200
 
 
 class ChangeRequest(msgspec.Struct):
@@ -50,7 +50,7 @@
     dry_run: bool = False
 
 
-class Accepted(msgspec.Struct):
+class ChangeResult(msgspec.Struct):
     """A change that was made, or would be.
 
     :param revision: of the object; with ``written`` False the one it has now.
@@ -84,49 +84,52 @@
         self.replica = replica
         self.publish = publish
 
-    async def apply(self, request: ChangeRequest) -> Accepted:
+    async def apply(self, request: ChangeRequest) -> ChangeResult:
         """Make a change.
 
         :raises ConflictError: another came first; this one will not be made.
         :raises ServiceUnavailableError: nothing was written.
         :raises OutcomeUnknownError: it may have been written.
         """
-        held = self.replica.revision
-        await self._check_service(held)
+        held_revision = self.replica.revision
+        await self._check_service(held_revision)
         current = await self.keys.read(request.key)
         if request.write_id and current.find(request.write_id):
-            return self._accept_found(request, current)
+            return self._accept_recorded(request, current)
         check_precondition(request, current)
         after = request.make(current.object)
-        lines = difference(current.object, after)
-        unchanged = Accepted(
+        lines = describe_difference(current.object, after)
+        unchanged = ChangeResult(
             request.key, current.revision, after, lines, request.write_id, False
         )
         if request.dry_run or not lines:
             return unchanged
-        return await self._write(request, current, after, lines, held)
+        return await self._write(request, current, after, lines, held_revision)
 
-    async def _check_service(self, held: int) -> None:
+    async def _check_service(self, held_revision: int) -> None:
         """Refuse to write to a service that has lost what is in force.
 
         It would accept the write under a revision that no node takes: the
         operator would see success and nothing would ever change.
         """
-        shown = await self.keys.revision()
-        if shown < held:
-            raise ServiceRolledBackError(held, shown, written=False)
+        service_revision = await self.keys.revision()
+        if service_revision < held_revision:
+            raise ServiceRolledBackError(held_revision, service_revision, written=False)
 
     async def _write(
         self,
         request: ChangeRequest,
-        current: Current,
+        current: CurrentObject,
         after: OperatorObject | None,
         lines: list[str],
-        held: int,
-    ) -> Accepted:
+        held_revision: int,
+    ) -> ChangeResult:
         change = Change(
             *(request.write_id, request.who, request.at_ms, request.action),
-            [line[:MAXIMUM_LINE] for line in lines[:MAXIMUM_LINES]],
+            [
+                line[:MAX_DIFFERENCE_LINE_LENGTH]
+                for line in lines[:MAX_DIFFERENCE_LINES]
+            ],
         )
         value = encode_stored(current.next_value(after, change))
         key = self.keys.prefix + request.key
@@ -134,17 +137,17 @@
             key, current.revision, value, request.write_id
         )
         if swapped.outcome is not SwapOutcome.APPLIED:
-            return await self._settle(request, current.revision, swapped.outcome)
-        if swapped.revision <= held:
-            raise ServiceRolledBackError(held, swapped.revision, written=True)
+            return await self._resolve_swap(request, current.revision, swapped.outcome)
+        if swapped.revision <= held_revision:
+            raise ServiceRolledBackError(held_revision, swapped.revision, written=True)
         self._publish(request.key, after, swapped.revision, [swapped.revision])
-        return Accepted(
+        return ChangeResult(
             request.key, swapped.revision, after, lines, request.write_id, True
         )
 
-    async def _settle(
+    async def _resolve_swap(
         self, request: ChangeRequest, expected: int, outcome: SwapOutcome
-    ) -> Accepted:
+    ) -> ChangeResult:
         """Find out what became of a swap that did not say that it applied.
 
         The reply may have been lost after the write took effect, or a repeat
@@ -155,22 +158,24 @@
         except ServiceUnavailableError:
             raise OutcomeUnknownError(request.key, request.write_id) from None
         if current.find(request.write_id):
-            return self._accept_found(request, current)
+            return self._accept_recorded(request, current)
         # While the key is at the expected revision, a write that is still on
         # its way can take effect; once it has moved on, never.
         pending = current.revision == expected and outcome is SwapOutcome.UNKNOWN
-        if pending or not current.covers(expected):
+        if pending or not current.has_all_changes_since(expected):
             raise OutcomeUnknownError(request.key, request.write_id)
-        raise conflict(request, current)
+        raise make_conflict_error(request, current)
 
-    def _accept_found(self, request: ChangeRequest, current: Current) -> Accepted:
+    def _accept_recorded(
+        self, request: ChangeRequest, current: CurrentObject
+    ) -> ChangeResult:
         """Accept a write that is found in the object's history."""
         found = current.find(request.write_id)
         # The replica compares revisions; a value that a service with lost data
         # shows is refused there.
         ahead = sorted({found.revision, current.revision})
         self._publish(request.key, current.object, current.revision, ahead)
-        return Accepted(
+        return ChangeResult(
             *(request.key, found.revision, current.object, found.difference),
             *(request.write_id, True),
         )
@@ -179,12 +184,12 @@
         self, key: str, after: OperatorObject | None, revision: int, ahead: list[int]
     ) -> None:
         value = encode_object(after) if after else b""
-        held = self.replica.revision
+        held_revision = self.replica.revision
         stored = StoredObject(key, revision, value)
-        self.publish(ConfigurationUpdate(held, held, [stored], ahead))
+        self.publish(ConfigurationUpdate(held_revision, held_revision, [stored], ahead))
 
 
-def check_precondition(request: ChangeRequest, current: Current) -> None:
+def check_precondition(request: ChangeRequest, current: CurrentObject) -> None:
     """Raise unless the object is at the revision that the change builds on."""
     if current.object is None:
         if request.expected == 0:
@@ -193,12 +198,14 @@
             raise ObjectNotFoundError(
                 f"there is no {request.key}", "See `cactuswalk get` for what there is."
             )
-        raise conflict(request, current)
+        raise make_conflict_error(request, current)
     if request.expected != current.revision:
-        raise conflict(request, current)
+        raise make_conflict_error(request, current)
 
 
-def conflict(request: ChangeRequest, current: Current) -> ConflictError:
+def make_conflict_error(
+    request: ChangeRequest, current: CurrentObject
+) -> ConflictError:
     """Return the error that tells the loser of a race who has won."""
     if not current.history:
         return ConflictError(f"{request.key} has changed meanwhile", 0, "", 0)
@@ -211,11 +218,11 @@
     )
 
 
-def difference(
+def describe_difference(
     before: OperatorObject | None, after: OperatorObject | None
 ) -> list[str]:
     """Return a line for each field that a change changes."""
-    old, new = flatten(before), flatten(after)
+    old, new = flatten_fields(before), flatten_fields(after)
     lines = []
     for field in sorted(old.keys() | new.keys()):
         if old.get(field) == new.get(field):
@@ -225,7 +232,7 @@
     return lines
 
 
-def flatten(value: OperatorObject | None) -> dict[str, str]:
+def flatten_fields(value: OperatorObject | None) -> dict[str, str]:
     """Return an object's fields as JSON texts, each label a field."""
     if value is None:
         return {}
--- a/src/cactuswalk/http/operators_errors.py
+++ b/src/cactuswalk/http/operators_errors.py
@@ -71,13 +71,15 @@
 
     code = "service_went_back"
 
-    def __init__(self, held: int, shown: int, written: bool) -> None:
+    def __init__(
+        self, held_revision: int, service_revision: int, written: bool
+    ) -> None:
         what = "The change was written but" if written else "Nothing was written;"
         super().__init__(
-            f"the key-value service is at revision {shown}, the nodes hold "
-            f"revision {held}",
+            f"the key-value service is at revision {service_revision}, the nodes hold "
+            f"revision {held_revision}",
             f"{what} no node takes a lower revision. Restore the service from a "
-            f"copy with its revision raised above {held}, then apply again.",
+            f"copy with its revision raised above {held_revision}, then apply again.",
         )
 
 
--- a/src/cactuswalk/http/operators_problems.py
+++ b/src/cactuswalk/http/operators_problems.py
@@ -18,7 +18,7 @@
 STATUS_BY_CODE = {"platform_value_too_large": 413, "invalid_object": 422}
 
 
-def status_of(error: CactuswalkError) -> int:
+def get_http_status(error: CactuswalkError) -> int:
     """Return the HTTP status that an error is told by."""
     if error.code in STATUS_BY_CODE:
         return STATUS_BY_CODE[error.code]
@@ -28,7 +28,7 @@
 
 def problem_fields(error: CactuswalkError) -> dict[str, object]:
     """Return what a client reads of an error."""
-    status = status_of(error)
+    status = get_http_status(error)
     fields = {
         "type": f"urn:cactuswalk:problem:{error.code}",
         "title": http.HTTPStatus(status).phrase,
--- a/src/cactuswalk/http/operators_store.py
+++ b/src/cactuswalk/http/operators_store.py
@@ -22,7 +22,7 @@
 __all__ = [
     "Change",
     "ConfigurationKeys",
-    "Current",
+    "CurrentObject",
     "ConfigurationFollower",
     "KeyValueStore",
     "StoredValue",
@@ -35,12 +35,12 @@
 HISTORY_LENGTH = 20
 
 # Of all objects' keys; the store puts the installation's own prefix before it.
-PREFIX = "config/"
+CONFIGURATION_PREFIX = "config/"
 
 # Ends the write ids of earlier changes. The key-value client looks for a write
 # id in a value to tell whether that write made the value: found in the history
 # of a later change, it would take this later value for the write's own.
-PAST = "~"
+PAST_WRITE_SUFFIX = "~"
 
 
 class KeyChange(Protocol):
@@ -105,7 +105,7 @@
     history: list[Change]
 
 
-class Current(msgspec.Struct):
+class CurrentObject(msgspec.Struct):
     """An object as the service has it now; revision 0 where there is no key."""
 
     key: str
@@ -115,11 +115,11 @@
 
     def find(self, write_id: str) -> Change | None:
         """Return the change that a write made, None if it is not there."""
-        names = (write_id, write_id + PAST)
+        names = (write_id, write_id + PAST_WRITE_SUFFIX)
         found = (one for one in self.history if one.write_id in names)
         return next(found, None)
 
-    def covers(self, revision: int) -> bool:
+    def has_all_changes_since(self, revision: int) -> bool:
         """Return whether the history holds all changes after a revision."""
         if len(self.history) < HISTORY_LENGTH:
             return True
@@ -128,7 +128,9 @@
     def next_value(self, after: OperatorObject | None, change: Change) -> StoredValue:
         """Return the value that a change of this object would write."""
         for one in self.history[:1]:
-            one.write_id = one.write_id.removesuffix(PAST) + PAST
+            one.write_id = (
+                one.write_id.removesuffix(PAST_WRITE_SUFFIX) + PAST_WRITE_SUFFIX
+            )
         return StoredValue(after, [change, *self.history][:HISTORY_LENGTH])
 
 
@@ -145,13 +147,15 @@
 
     __slots__ = ("store", "prefix", "unreadable")
 
-    def __init__(self, store: KeyValueStore, prefix: str = PREFIX) -> None:
+    def __init__(
+        self, store: KeyValueStore, prefix: str = CONFIGURATION_PREFIX
+    ) -> None:
         self.store = store
         self.prefix = prefix
         # Keys whose values this release can't read, and why.
         self.unreadable: dict[str, str] = {}
 
-    async def read(self, key: str) -> Current:
+    async def read(self, key: str) -> CurrentObject:
         """Read an object with its history.
 
         :raises ServiceUnavailableError: if the service gives no answer.
@@ -164,8 +168,8 @@
                 "try again when the service answers.",
             )
         if read.value is None:
-            return Current(key, 0, None, [])
-        return self._current(key, read.value, read.revision)
+            return CurrentObject(key, 0, None, [])
+        return self._decode_current(key, read.value, read.revision)
 
     async def revision(self) -> int:
         """Return the service's own revision, by reading nothing else.
@@ -194,13 +198,13 @@
 
         :param since: of the newest object that was brought before.
         """
-        found = (self._stored(one) for one in changes if one.value is not None)
+        found = (self._decode_object(one) for one in changes if one.value is not None)
         objects = [one for one in found if one is not None]
         objects.sort(key=lambda one: one.revision)
         newest = objects[-1].revision if objects else since
         return ConfigurationUpdate(since, newest, objects)
 
-    def _stored(self, change: KeyChange) -> StoredObject | None:
+    def _decode_object(self, change: KeyChange) -> StoredObject | None:
         """Return an object without its history, which nodes have no use for.
 
         One value that is no object of this release (written by hand, or of a
@@ -217,7 +221,7 @@
         value = encode_object(held) if held else b""
         return StoredObject(name, change.mod_revision, value)
 
-    def _current(self, key: str, value: bytes, revision: int) -> Current:
+    def _decode_current(self, key: str, value: bytes, revision: int) -> CurrentObject:
         try:
             stored = _decoder.decode(value)
         except msgspec.MsgspecError as error:
@@ -228,7 +232,7 @@
             ) from error
         if stored.history:
             stored.history[0].revision = revision
-        return Current(key, revision, stored.object, stored.history)
+        return CurrentObject(key, revision, stored.object, stored.history)
 
 
 class ConfigurationFollower:
@@ -241,10 +245,10 @@
         # Revision of the newest object so far: the next update builds on it.
         self.newest = 0
 
-    def make_update(self, news: KeyChanges) -> ConfigurationUpdate:
+    def make_update(self, batch: KeyChanges) -> ConfigurationUpdate:
         """Return the update for the next news of the watch."""
-        since = 0 if news.is_snapshot else self.newest
-        update = self.keys.update(since, news.changes)
+        since = 0 if batch.is_snapshot else self.newest
+        update = self.keys.update(since, batch.changes)
         self.newest = update.revision
         return update
 
@@ -257,5 +261,5 @@
     :param publish: called with each update, for the entry's own ``Spread``.
     """
     follower = ConfigurationFollower(keys)
-    async for news in keys.store.watch(keys.prefix, 0):
-        publish(follower.make_update(news))
+    async for batch in keys.store.watch(keys.prefix, 0):
+        publish(follower.make_update(batch))
--- a/src/cactuswalk/http/problems.py
+++ b/src/cactuswalk/http/problems.py
@@ -16,13 +16,13 @@
 from cactuswalk.model import Outcome, Refusal, RefusalCode
 
 __all__ = [
-    "CHANGING_GROUNDS",
+    "RETRY_SENSITIVE_CODES",
     "PROBLEM_KINDS",
     "InputCode",
     "Problem",
     "ProblemError",
     "ProblemKind",
-    "problem_of_refusal",
+    "make_refusal_problem",
     "problem_response",
 ]
 
@@ -162,7 +162,7 @@
 # resubmission under a key of the caller's can meet one while the first copy
 # runs. This entry can't tell then, and "not run" might be a lie that books a
 # pen twice. All other input codes strike every copy of a request alike.
-CHANGING_GROUNDS = frozenset(
+RETRY_SENSITIVE_CODES = frozenset(
     {
         InputCode.UNAUTHENTICATED,
         InputCode.BODY_TOO_LARGE,
@@ -203,7 +203,7 @@
         self.headers = headers or {}
 
 
-def problem_of_refusal(outcome: Outcome, refusal: Refusal) -> Problem:
+def make_refusal_problem(outcome: Outcome, refusal: Refusal) -> Problem:
     """Return the problem that tells a caller of a refusal."""
     return Problem(
         code=refusal.code.value,
--- a/src/cactuswalk/http/server.py
+++ b/src/cactuswalk/http/server.py
@@ -9,7 +9,7 @@
 __all__ = ["HttpServer"]
 
 # A caller sends its headers in one piece; more than this is no caller of ours.
-MAXIMUM_HEADER_BYTES = 16_384
+MAX_HEADER_BYTES = 16_384
 
 
 class HttpServer:
@@ -22,7 +22,7 @@
         self,
         application: web.Application,
         settings: HttpSettings,
-        finish_seconds: float,
+        drain_seconds: float,
     ) -> None:
         self.settings = settings
         # A handler has to learn that its caller has gone.
@@ -33,9 +33,9 @@
             # small body grow, or a broken one fill the log.
             auto_decompress=False,
             handler_cancellation=True,
-            shutdown_timeout=finish_seconds,
-            max_field_size=MAXIMUM_HEADER_BYTES,
-            max_line_size=MAXIMUM_HEADER_BYTES,
+            shutdown_timeout=drain_seconds,
+            max_field_size=MAX_HEADER_BYTES,
+            max_line_size=MAX_HEADER_BYTES,
         )
         self.port = 0
 
--- a/src/cactuswalk/http/templates.py
+++ b/src/cactuswalk/http/templates.py
@@ -9,13 +9,13 @@
 
 from aiohttp import web
 
-from cactuswalk.http.headers import refuse, single
+from cactuswalk.http.headers import make_problem_error, read_single_header
 from cactuswalk.http.problems import InputCode
 from cactuswalk.model import Job
 from cactuswalk.model.configuration import JobTemplate
 from cactuswalk.settings.converters import NAME_REMEDY, is_name
 
-__all__ = ["FindTemplate", "fill", "read_template"]
+__all__ = ["FindTemplate", "apply_template", "read_template"]
 
 # (name) -> the template that is in force here, None if there is none
 FindTemplate = Callable[[str], JobTemplate | None]
@@ -28,23 +28,25 @@
 
     :raises ProblemError: if it is not in force here, or for another service.
     """
-    name = single(request, "Cactuswalk-Template")
+    name = read_single_header(request, "Cactuswalk-Template")
     if name is None:
         return None
     if not is_name(name):
-        raise refuse(
+        raise make_problem_error(
             InputCode.INVALID_HEADER, "Cactuswalk-Template is no name", NAME_REMEDY
         )
     template = find(name)
     if template is None:
-        raise refuse(InputCode.NO_SUCH_TEMPLATE, f"no template {name} is in force here")
+        raise make_problem_error(
+            InputCode.NO_SUCH_TEMPLATE, f"no template {name} is in force here"
+        )
     if template.service not in ("", service):
         detail = f"template {name} is for {template.service}, not for {service}"
-        raise refuse(InputCode.NO_SUCH_TEMPLATE, detail)
+        raise make_problem_error(InputCode.NO_SUCH_TEMPLATE, detail)
     return template
 
 
-def fill(job: Job, template: JobTemplate) -> None:
+def apply_template(job: Job, template: JobTemplate) -> None:
     """Put what a template says where a caller has said nothing."""
     selectors = (template.selector, job.selector)
     job.selector = ",".join(one for one in selectors if one)
--- a/src/cactuswalk/http/upstream.py
+++ b/src/cactuswalk/http/upstream.py
@@ -19,7 +19,7 @@
 from cactuswalk.state.effects import CallUpstream, SteerUpstream, StopUpstream
 from cactuswalk.state.events import UpstreamAnswered, UpstreamOutcome
 
-__all__ = ["MAXIMUM_ANSWER_BYTES", "UpstreamClient"]
+__all__ = ["MAX_ANSWER_BYTES", "UpstreamClient"]
 
 logger = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 
 # An answer travels through three processes of 64 MB each; the platform's own
 # largest value is a megabyte. Four leave room and bound what an agent holds.
-MAXIMUM_ANSWER_BYTES = 4 << 20
+MAX_ANSWER_BYTES = 4 << 20
 
 # Told to the owner as the status of an answer above the limit: the work is
 # done, but its answer can't be delivered whole.
@@ -37,7 +37,7 @@
 # Below the time after which common servers close an idle connection (two seconds
 # and more): on one that the upstream is just closing, whether a request arrived
 # stays open, and its outcome is uncertain for nothing.
-IDLE_SECONDS = 1.0
+MAX_IDLE_SECONDS = 1.0
 
 # A stop is a wish; the call itself tells how the task ended.
 STOP_TIMEOUT_SECONDS = 2.0
@@ -61,13 +61,13 @@
     code = "upstream_answer_too_large"
 
 
-class AnswerUnboundedError(CallError):
+class AnswerLengthMissingError(CallError):
     """An answer without a length: one that is cut short would look whole."""
 
     code = "upstream_answer_unbounded"
 
 
-class AnswerMixedUpError(CallError):
+class AnswerMismatchError(CallError):
     """An answer that does not name the request that it was read for."""
 
     code = "upstream_answer_mixed_up"
@@ -94,9 +94,9 @@
         self.connections = DEFAULT_CONNECTIONS
         self.in_flight = 0
         self.echoes = False
-        self.on_refused: Callable[[], None] = _ignore
-        self.fresh: aiohttp.ClientSession | None = None
-        self.reusing: aiohttp.ClientSession | None = None
+        self.on_refused: Callable[[], None] = _do_nothing
+        self.single_use_session: aiohttp.ClientSession | None = None
+        self.pooled_session: aiohttp.ClientSession | None = None
 
     def set_upstream(self, port: int, connections: int, echoes: bool = False) -> None:
         """Send calls to this port of the loopback from now on.
@@ -110,22 +110,24 @@
 
     async def open(self) -> None:
         """Make the sessions; needs the running loop."""
-        self.fresh = _make_session(_NotingConnector(limit=0, force_close=True))
-        self.reusing = _make_session(
-            _NotingConnector(limit=0, keepalive_timeout=IDLE_SECONDS)
+        self.single_use_session = _make_session(
+            _TrackingConnector(limit=0, force_close=True)
+        )
+        self.pooled_session = _make_session(
+            _TrackingConnector(limit=0, keepalive_timeout=MAX_IDLE_SECONDS)
         )
 
     async def close(self) -> None:
         """Close the sessions, and with them what is still in flight."""
-        for session in (self.fresh, self.reusing):
+        for session in (self.single_use_session, self.pooled_session):
             if session is not None:
                 await session.close()
-        self.fresh = self.reusing = None
+        self.single_use_session = self.pooled_session = None
 
     async def call(self, effect: CallUpstream) -> UpstreamAnswered:
         """Run a task at the upstream and return what became of the call."""
         began, url = time.monotonic(), self.url
-        connection = _Connection()
+        connection = _ConnectionState()
         _connection.set(connection)
         outcome, status, body = UpstreamOutcome.UNCERTAIN, 0, b""
         self.in_flight += 1
@@ -145,7 +147,7 @@
             if not connection.made:
                 outcome = UpstreamOutcome.NOT_SENT
             # What was sent to an earlier port says nothing of the present one.
-            if _is_refused(error) and url == self.url:
+            if _is_connection_refused(error) and url == self.url:
                 self.on_refused()
             logger.warning(
                 "task %d of %s is %s at the upstream: %r",
@@ -168,24 +170,24 @@
 
     async def stop(self, effect: StopUpstream) -> bool:
         """Ask the upstream to stop a task; return whether it took the wish."""
-        return await self._wish(effect, "stop", None)
+        return await self._send_control(effect, "stop", None)
 
     async def steer(self, effect: SteerUpstream) -> bool:
         """Ask it to throttle or save a task; return whether it took the wish."""
         wish = {"factor": effect.factor}
-        return await self._wish(effect, effect.action.value, wish)
+        return await self._send_control(effect, effect.action.value, wish)
 
-    async def _wish(
+    async def _send_control(
         self, effect: StopUpstream | SteerUpstream, action: str, body: dict | None
     ) -> bool:
-        if self.url is None or self.fresh is None:
+        if self.url is None or self.single_use_session is None:
             return False
         path = f"/tasks/{quote(effect.submission, safe='')}/{effect.index}/{action}"
         url = URL(f"{self.url.origin()}{path}", encoded=True)
         headers = {"Cactuswalk-Attempt": str(effect.attempt)}
         timeout = aiohttp.ClientTimeout(total=STOP_TIMEOUT_SECONDS)
         try:
-            async with self.fresh.post(
+            async with self.single_use_session.post(
                 url,
                 json=body,
                 headers=headers,
@@ -197,7 +199,7 @@
             return False
 
     async def _post(self, effect: CallUpstream) -> tuple[int, bytes]:
-        if self.url is None or self.fresh is None:
+        if self.url is None or self.single_use_session is None:
             raise NotConnectedError(
                 "no upstream has announced itself",
                 "Have the upstream announce itself; see docs/upstreams.md.",
@@ -207,14 +209,14 @@
                 f"all {self.connections} connections are in use",
                 "Have the upstream announce more connections than slots.",
             )
-        session, echo = self.fresh, {}
+        session, expected_echo = self.single_use_session, {}
         identity = {
             "Cactuswalk-Submission": effect.submission,
             "Cactuswalk-Task": str(effect.index),
             "Cactuswalk-Attempt": str(effect.attempt),
         }
         if self.echoes:
-            session, echo = self.reusing, identity
+            session, expected_echo = self.pooled_session, identity
         headers = CIMultiDict(identity)
         headers["Content-Type"] = "application/json"
         headers["Cactuswalk-Service"] = effect.service
@@ -227,15 +229,15 @@
             timeout=aiohttp.ClientTimeout(total=max(effect.timeout_ms, 1) / 1000),
             allow_redirects=False,
         ) as response:
-            _check_echo(response, echo)
+            _check_echo(response, expected_echo)
             return response.status, await _read_whole(response)
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     """Do nothing: nobody wants to know."""
 
 
-def _is_refused(error: Exception) -> bool:
+def _is_connection_refused(error: Exception) -> bool:
     """Tell whether nobody listened at the port.
 
     An upstream that was killed can't withdraw. Without this it would be given
@@ -254,7 +256,7 @@
     )
 
 
-class _Connection:
+class _ConnectionState:
     """Whether a call has had a connection that could carry a byte of it."""
 
     __slots__ = ("made",)
@@ -265,26 +267,30 @@
 
 # Of the call that runs in this context; each call is a task with a context of its
 # own. aiohttp's traces would tell the same, at a tenth of a call's processor time.
-_connection: contextvars.ContextVar[_Connection] = contextvars.ContextVar("connection")
+_connection: contextvars.ContextVar[_ConnectionState] = contextvars.ContextVar(
+    "connection"
+)
 
 
-class _NotingConnector(aiohttp.TCPConnector):
+class _TrackingConnector(aiohttp.TCPConnector):
     """Notes on the call that it now has a connection; nothing is sent before."""
 
     async def connect(self, *arguments, **options) -> aiohttp.connector.Connection:
         """Return a connection, new or reused."""
         made = await super().connect(*arguments, **options)
-        _connection.get(_Connection()).made = True
+        _connection.get(_ConnectionState()).made = True
         return made
 
 
-def _check_echo(response: aiohttp.ClientResponse, echo: dict[str, str]) -> None:
+def _check_echo(
+    response: aiohttp.ClientResponse, expected_echo: dict[str, str]
+) -> None:
     """Raise, and close the connection, unless the answer names its request."""
-    for name, value in echo.items():
+    for name, value in expected_echo.items():
         if response.headers.get(name) != value:
             # What else comes on this connection is some other request's too.
             response.close()
-            raise AnswerMixedUpError(
+            raise AnswerMismatchError(
                 f"{name} is {response.headers.get(name)} in the answer to {value}",
                 "Repeat the request's headers in the answer, or announce no echoes.",
             )
@@ -295,16 +301,16 @@
     length = response.content_length
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     if length is None and not chunked and response.status not in (204, 304):
-        raise AnswerUnboundedError(
+        raise AnswerLengthMissingError(
             "the answer has no length",
             "Have the upstream send Content-Length or chunks.",
         )
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
-        if len(body) > MAXIMUM_ANSWER_BYTES:
+        if len(body) > MAX_ANSWER_BYTES:
             raise AnswerTooLargeError(
-                f"the answer is above {MAXIMUM_ANSWER_BYTES} bytes",
+                f"the answer is above {MAX_ANSWER_BYTES} bytes",
                 "Have the upstream answer less, such as where to fetch the rest.",
             )
     return bytes(body)
