--- a/features/callers_support.py
+++ b/features/callers_support.py
@@ -13,7 +13,7 @@
     Outcome,
     TaskOutcome,
     TaskResult,
-    mint,
+    generate_identifier,
 )
 from cactuswalk.settings import CallerIdentity, HttpSettings, load_entry
 from cactuswalk.state.effects import Reply
@@ -21,7 +21,7 @@
 
 NOW = datetime.datetime(2026, 12, 2, 11, tzinfo=datetime.UTC).timestamp()
 NOW_MS = int(NOW * 1000)
-UUID7 = mint(NOW_MS - 5000, random.Random(7))
+UUID7 = generate_identifier(NOW_MS - 5000, random.Random(7))
 TOKEN = {"Authorization": "Bearer demo-desk-token"}
 OTHER_TOKEN = {"Authorization": "Bearer demo-gate-token"}
 SECRET = "body-of-a-task"
@@ -103,7 +103,7 @@
 
 
 OK = b'{"pupil": 7}'
-TOMORROW = mint(NOW_MS + 86_400_000, random.Random(3))
+TOMORROW = generate_identifier(NOW_MS + 86_400_000, random.Random(3))
 
 
 def assert_problem(context, code, status, outcome):
--- a/features/process_faults_load.py
+++ b/features/process_faults_load.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from cactuswalk.model import mint, submission_name
+from cactuswalk.model import format_submission_name, generate_identifier
 from tools.cluster import Cluster, Worker
 from tools.demo import faults_of
 from tools.load import Sent, body_of, headers_of, judge, work_of
@@ -140,7 +140,7 @@
     async def _submit(self, session, number: int) -> None:
         """Send one arrival; every seventh also through the next entry at once."""
         arrival = self._arrival(number)
-        key = mint(int(time.time() * 1000), self.generator)
+        key = generate_identifier(int(time.time() * 1000), self.generator)
         copies = 2 if number % 7 == 3 and not self.balanced else 1
         await asyncio.gather(
             *(self._until_answered(session, arrival, key) for _ in range(copies))
@@ -184,7 +184,7 @@
 def send_request(cluster: Cluster, entry: int = 0) -> Sent:
     """Send one request of its own and return what came of it."""
     arrival = Arrival(0.0, REQUEST, [20])
-    key = mint(int(time.time() * 1000), random.Random())
+    key = generate_identifier(int(time.time() * 1000), random.Random())
     sent = Sent(arrival, key, "lost", "", 0.0)
     works = [work_of(key, 0)]
     url = f"{cluster.entry_url(entry)}/v1/services/{arrival.kind.service}/requests"
@@ -203,7 +203,7 @@
 def find_idempotent_submissions(sent: list[Sent]) -> frozenset[str]:
     """Return the submissions that their callers declared idempotent."""
     return frozenset(
-        submission_name(one.arrival.kind.team, one.key)
+        format_submission_name(one.arrival.kind.team, one.key)
         for one in sent
         if one.arrival.kind.idempotent
     )
--- a/features/steps/callers_input_steps.py
+++ b/features/steps/callers_input_steps.py
@@ -89,7 +89,7 @@
     (event,) = context.entry.events
     assert not event.minted and context.status == 200, context.body
     wanted = NOW_MS - (5000 if born == "the key's birth" else 60_000)
-    assert event.job.born_ms == wanted, event
+    assert event.job.created_ms == wanted, event
 
 
 def fingerprint_of(context, changed):
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -81,7 +81,7 @@
     (event,) = context.entry.events
     job = event.job
     assert event.minted and job.request and not job.idempotent, event
-    assert (job.team, job.caller, job.born_ms) == (team, "depot-desk", NOW_MS), job
+    assert (job.team, job.caller, job.created_ms) == (team, "depot-desk", NOW_MS), job
     assert job.submission == f"{team}/{context.headers['Cactuswalk-Submission']}"
     assert ms - 5000 < event.remaining_ms <= ms, event
 
--- a/features/steps/configuration_workers_steps.py
+++ b/features/steps/configuration_workers_steps.py
@@ -6,7 +6,7 @@
 
 from cactuswalk.http.operators_changes import ChangeRequest
 from cactuswalk.messages import ConfigurationUpdate, StoredObject
-from cactuswalk.model import Announcement, Capacity, matches, parse
+from cactuswalk.model import Announcement, Capacity, matches, parse_selector
 from cactuswalk.model.configuration import (
     Service,
     WorkerEntry,
@@ -81,8 +81,8 @@
         cluster.settle(rounds=2)
         found = cluster.nodes["agent0.0"].replica.get("service", "s")
         assert (found.labels, found.selector) == (labels, selector)
-        expected = matches(parse(selector), labels)
-        assert matches(parse(found.selector), found.labels) == expected
+        expected = matches(parse_selector(selector), labels)
+        assert matches(parse_selector(found.selector), found.labels) == expected
         context.round_trips += 1
 
     write()
--- a/features/steps/decision_selector_steps.py
+++ b/features/steps/decision_selector_steps.py
@@ -8,7 +8,7 @@
     Capacity,
     SelectorError,
     matches,
-    parse,
+    parse_selector,
     worker_labels,
 )
 
@@ -22,12 +22,12 @@
 
 @when('the selector "{selector}" is matched against that worker')
 def step_match(context, selector):
-    context.verdict = matches(parse(selector), worker_labels(context.worker))
+    context.verdict = matches(parse_selector(selector), worker_labels(context.worker))
 
 
 @when('the selector "" is matched against that worker')
 def step_match_empty(context):
-    context.verdict = matches(parse(""), worker_labels(context.worker))
+    context.verdict = matches(parse_selector(""), worker_labels(context.worker))
 
 
 @then("the selector's verdict is {verdict}")
@@ -38,7 +38,7 @@
 @when('the selector "{selector}" is parsed')
 def step_parse(context, selector):
     try:
-        context.error = parse(selector)
+        context.error = parse_selector(selector)
     except SelectorError as error:
         context.error = error
 
@@ -59,7 +59,7 @@
     @drawn(strategies.text(alphabet="ab=!,() in$", max_size=16))
     def check(text):
         try:
-            matches(parse(text), {"a": "b"})
+            matches(parse_selector(text), {"a": "b"})
         except SelectorError as error:
             assert 0 <= error.position <= len(text), error.show()
 
--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -161,7 +161,12 @@
         for started in context.scheduler.assign(context.now):
             place = (started.task.job.submission, 0, started.worker)
             failed = started.worker == "w1"
-            ending = (not failed, 100, context.now + 0.1, failed and result.guarded)
+            ending = (
+                not failed,
+                100,
+                context.now + 0.1,
+                failed and result.is_stopped_by_guard,
+            )
             context.scheduler.record_result(*place, *ending)
         context.now += 0.2
 
--- a/features/steps/once_cells_steps.py
+++ b/features/steps/once_cells_steps.py
@@ -7,7 +7,7 @@
 
 from cactuswalk.errors import CactuswalkError
 from cactuswalk.http.operators_cells import CellRetirement
-from cactuswalk.messages import Ceded
+from cactuswalk.messages import CededSlots
 from cactuswalk.model import Outcome
 from cactuswalk.model.cell import cell_key
 from cactuswalk.model.holding import SLOT_COUNT
@@ -155,7 +155,7 @@
 def step_word_again(context):
     bag = context.bag
     bag.fate = lambda sender, receiver, message: (
-        [0.0005, 20.0] if isinstance(message, Ceded) else [0.0005]
+        [0.0005, 20.0] if isinstance(message, CededSlots) else [0.0005]
     )
     for cell in ("cell-3", "cell-4"):
         add_cell(bag, cell)
@@ -206,7 +206,7 @@
         submit_everywhere(context)
         bag.run(10.0)
     assert any(
-        one.source == "cell-3" for record in records(bag) for one in record.holdings
+        one.ceded_by == "cell-3" for record in records(bag) for one in record.holdings
     ), "the cell whose clock is behind has ceded nothing"
 
 
--- a/features/steps/once_directed_answers_steps.py
+++ b/features/steps/once_directed_answers_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from cactuswalk.messages import Answer, Query, Result, Submit
-from cactuswalk.model import Outcome, TaskOutcome, TaskResult, digest
+from cactuswalk.model import Outcome, TaskOutcome, TaskResult, compute_digest
 from cactuswalk.state.effects import Send
 from cactuswalk.state.events import UpstreamOutcome
 from features.support.bag import TICK, WALL_MS
@@ -48,7 +48,7 @@
     entry = bag.processes["tcp://entry-0"].state
     bodies = [b"answer to " + task.body for task in job.tasks]
     results = [
-        TaskResult(index, TaskOutcome.DONE, 200, body, digest(body))
+        TaskResult(index, TaskOutcome.DONE, 200, body, compute_digest(body))
         for index, body in enumerate(bodies)
     ]
     return whole(
@@ -68,7 +68,9 @@
 def whole(answer: Answer) -> Answer:
     """Return an answer whose digest matches its parts, be they right or wrong."""
     parts = [result.digest for result in answer.results]
-    return msgspec.structs.replace(answer, digest=digest(answer.fingerprint, *parts))
+    return msgspec.structs.replace(
+        answer, digest=compute_digest(answer.fingerprint, *parts)
+    )
 
 
 def cut_short(answer: Answer) -> Answer:
@@ -83,7 +85,7 @@
 
 def of_another_job(answer: Answer) -> Answer:
     other = [
-        msgspec.structs.replace(one, body=b"other", digest=digest(b"other"))
+        msgspec.structs.replace(one, body=b"other", digest=compute_digest(b"other"))
         for one in answer.results
     ]
     # Its parts fit each other; they don't fit this answer's digest.
@@ -93,12 +95,12 @@
 DAMAGES = {
     "with a body cut short": cut_short,
     "with the digest of another": lambda answer: msgspec.structs.replace(
-        answer, digest=digest(b"another")
+        answer, digest=compute_digest(b"another")
     ),
     "without its last task": without_last,
     "with another job's results": of_another_job,
     "with another body's print": lambda answer: whole(
-        msgspec.structs.replace(answer, fingerprint=digest(b"another"))
+        msgspec.structs.replace(answer, fingerprint=compute_digest(b"another"))
     ),
     "for an attempt that never was": lambda answer: msgspec.structs.replace(
         answer, attempt=answer.attempt + 1
@@ -186,8 +188,8 @@
 def step_old(context, age):
     bag = context.bag
     grow_old(bag)
-    born_ms = int(WALL_MS + (bag.now - age) * 1000)
-    context.job = bag.job(born_ms=born_ms)
+    created_ms = int(WALL_MS + (bag.now - age) * 1000)
+    context.job = bag.job(created_ms=created_ms)
     context.handed = bag.submit("entry-0", context.job)
     bag.run(SETTLE_S)
 
@@ -205,7 +207,7 @@
     job = bag.job(tasks=2, duration_ms=400)
     bag.submit("entry-0", job)
     bag.run(0.1)
-    reused = msgspec.structs.replace(job, fingerprint=digest(b"another"))
+    reused = msgspec.structs.replace(job, fingerprint=compute_digest(b"another"))
     context.reuses = [bag.submit("entry-0", reused), bag.submit("entry-1", reused)]
     bag.run(2.0)
     context.reuses.append(bag.submit("entry-1", reused))
@@ -409,7 +411,7 @@
     place = state.ledger[context.job.submission].tasks[0].place
     for attempt in (place.attempt - 1, place.attempt + 1):
         body = b"an answer to something else"
-        wrong = TaskResult(0, TaskOutcome.DONE, 200, body, digest(body))
+        wrong = TaskResult(0, TaskOutcome.DONE, 200, body, compute_digest(body))
         result = Result(
             *(state.cell, place.incarnation, context.job.submission),
             *(0, attempt, wrong, 5),
--- a/features/steps/once_directed_takeover_steps.py
+++ b/features/steps/once_directed_takeover_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from cactuswalk.errors import CactuswalkError
-from cactuswalk.messages import Adopt, HandOver, Pong
+from cactuswalk.messages import HandOver, Pong, ReplicateRecords
 from cactuswalk.model import CellRecord
 from cactuswalk.model.cell import Member
 from cactuswalk.state import recovery
@@ -79,7 +79,7 @@
 @when("the owner sleeps, and its successor dies before its records have a backup")
 def step_two_owners(context):
     bag = context.bag
-    drop(bag, Adopt)
+    drop(bag, ReplicateRecords)
     # It wakes before it is taken off the roster, so that nobody else is missing.
     bag.freeze(context.owner, 2.5)
     bag.run(4.0)
@@ -109,7 +109,7 @@
 
 @when("a worker is removed, the copies of its records are lost, and the owner dies")
 def step_departed(context):
-    drop(context.bag, Adopt)
+    drop(context.bag, ReplicateRecords)
     remove_worker(context)
     kill_owner(context)
     context.bag.run(SETTLE_S)
--- a/features/support/bag.py
+++ b/features/support/bag.py
@@ -10,7 +10,15 @@
 from collections.abc import Callable, Sequence
 
 from cactuswalk.messages import Envelope, decode, encode
-from cactuswalk.model import Announcement, Capacity, Job, Member, TaskSpec, digest, mint
+from cactuswalk.model import (
+    Announcement,
+    Capacity,
+    Job,
+    Member,
+    TaskSpec,
+    compute_digest,
+    generate_identifier,
+)
 from cactuswalk.state.effects import (
     CallUpstream,
     Log,
@@ -266,18 +274,18 @@
     # Callers
 
     def job(self, key: str | None = None, tasks: int = 1, **fields) -> Job:
-        born_ms = int(WALL_MS + self.now * 1000)
-        key = key or mint(born_ms, self.generator)
+        created_ms = int(WALL_MS + self.now * 1000)
+        key = key or generate_identifier(created_ms, self.generator)
         bodies = [f"{key}:{index}".encode() for index in range(tasks)]
         return Job(
             f"team/{key}",
-            digest(*bodies),
+            compute_digest(*bodies),
             fields.pop("service", "routes"),
             "team",
             [TaskSpec(body, fields.get("duration_ms", 0)) for body in bodies],
             request=fields.pop("request", tasks == 1),
             idempotent=fields.pop("idempotent", False),
-            born_ms=fields.pop("born_ms", born_ms),
+            created_ms=fields.pop("created_ms", created_ms),
         )
 
     def submit(
--- a/features/support/cells.py
+++ b/features/support/cells.py
@@ -6,7 +6,7 @@
 
 from cactuswalk.model import CellRecord, Holding
 from cactuswalk.model.cell import cell_key
-from cactuswalk.model.holding import open_slots
+from cactuswalk.model.holding import count_open_slots
 from cactuswalk.state.events import KeyRead
 from features.support.bag import CELL, Bag
 from features.support.directed import grow_old
@@ -62,7 +62,7 @@
 def held_by(bag: Bag, cell: str, service: str = "routes") -> int:
     """Return how many slots a cell holds for keys that are yet to be born."""
     found = [one.holdings for one in records(bag) if one.cell == cell]
-    return open_slots(found[0], service) if found else 0
+    return count_open_slots(found[0], service) if found else 0
 
 
 def tell_records(bag: Bag, entry: str) -> None:
--- a/features/support/cellscript.py
+++ b/features/support/cellscript.py
@@ -9,8 +9,8 @@
 
 from hypothesis import strategies as st
 
-from cactuswalk.messages import AskShare, Ceded
-from cactuswalk.model import mint
+from cactuswalk.messages import CededSlots, SlotRequest
+from cactuswalk.model import generate_identifier
 from cactuswalk.state.effects import SwapKey
 from cactuswalk.state.events import Announced
 from features.support.bag import CELL, WALL_MS, Bag, Process
@@ -91,9 +91,9 @@
 def _submit_again_and_new(played: PlayedCells, ahead_ms: int) -> None:
     bag = played.bag
     for _ in range(3):
-        born_ms = int(WALL_MS + bag.now * 1000) + ahead_ms
-        key = mint(born_ms, played.generator)
-        job = bag.job(key, duration_ms=60, born_ms=born_ms)
+        created_ms = int(WALL_MS + bag.now * 1000) + ahead_ms
+        key = generate_identifier(created_ms, played.generator)
+        job = bag.job(key, duration_ms=60, created_ms=created_ms)
         played.jobs.append(job)
     for number, job in enumerate(played.jobs[-12:]):
         entry = (number + len(played.bag.handed)) % played.entries
@@ -156,12 +156,12 @@
 
 def _is_moment(moment: str, kind: str, process: Process, what: object) -> bool:
     if moment == "asked":
-        return kind == "taken" and isinstance(what, AskShare)
+        return kind == "taken" and isinstance(what, SlotRequest)
     if moment == "swapped":
         owner = getattr(process.state, "owner", None)
         ceding = owner is not None and owner.sharing.cession is not None
         return ceding and kind == "performed" and isinstance(what, SwapKey)
-    return kind == "sent" and isinstance(what, Ceded)
+    return kind == "sent" and isinstance(what, CededSlots)
 
 
 def _strike(bag: Bag, fault: str, name: str) -> None:
--- a/src/cactuswalk/decisions/fitting.py
+++ b/src/cactuswalk/decisions/fitting.py
@@ -20,7 +20,7 @@
     SelectorError,
     TaskSpec,
     matches,
-    parse,
+    parse_selector,
     worker_labels,
 )
 
@@ -61,7 +61,7 @@
     """Return why a worker can never run a task, empty if it could when idle."""
     if announcement.service != job.service:
         return f"it serves {announcement.service}, not {job.service}"
-    if not matches(parse(job.selector), worker_labels(announcement)):
+    if not matches(parse_selector(job.selector), worker_labels(announcement)):
         return f"its labels do not match {job.selector!r}"
     capacity = announcement.capacity
     if capacity.memory_mb and spec.memory_mb > capacity.memory_mb:
@@ -90,7 +90,7 @@
     :param departed: announcements of workers that left recently.
     """
     try:
-        parse(job.selector)
+        parse_selector(job.selector)
     except SelectorError as error:
         # Entries validate selectors. An entry of another release may accept a selector
         # that this release can't parse, and the owner must not fail over it.
--- a/src/cactuswalk/decisions/placement.py
+++ b/src/cactuswalk/decisions/placement.py
@@ -16,7 +16,7 @@
 
 from cactuswalk.decisions.affinity import choose_preferred
 from cactuswalk.decisions.ejection import Health
-from cactuswalk.model import Announcement, Job, matches, parse, worker_labels
+from cactuswalk.model import Announcement, Job, matches, parse_selector, worker_labels
 
 __all__ = [
     "Choice",
@@ -218,7 +218,7 @@
         """Return whether a worker belongs to the group of a service and selector."""
         if worker.announcement.service != service:
             return False
-        return matches(parse(selector), worker.labels)
+        return matches(parse_selector(selector), worker.labels)
 
     def group(self, service: str, selector: str) -> Group:
         """Return the group of a selector; create it on first use."""
--- a/src/cactuswalk/decisions/sharing.py
+++ b/src/cactuswalk/decisions/sharing.py
@@ -86,7 +86,7 @@
         first_ceded = holding.last - ceded_count + 1
         result.append(
             msgspec.structs.replace(
-                holding, first=first_ceded, until_ms=from_ms, to=to, serial=serial
+                holding, first=first_ceded, until_ms=from_ms, ceded_to=to, serial=serial
             )
         )
         if ceded_count < slot_count:
@@ -120,7 +120,7 @@
             holding.first,
             holding.last,
             holding.until_ms,
-            source=source,
+            ceded_by=source,
         )
         for holding in ceded
         if holding.serial > after
--- a/src/cactuswalk/http/bodies.py
+++ b/src/cactuswalk/http/bodies.py
@@ -15,8 +15,8 @@
     make_problem_error,
 )
 from cactuswalk.http.problems import InputCode
-from cactuswalk.model import Job, TaskSpec, digest
-from cactuswalk.model.job import MAXIMUM_TASKS
+from cactuswalk.model import Job, TaskSpec, compute_digest
+from cactuswalk.model.job import MAX_TASKS
 
 __all__ = [
     "JobBody",
@@ -102,7 +102,7 @@
     job = _decode(_job_decoder, body)
     if not job.tasks:
         raise make_problem_error(InputCode.EMPTY_JOB, "the job has no tasks")
-    if len(job.tasks) > MAXIMUM_TASKS:
+    if len(job.tasks) > MAX_TASKS:
         raise make_problem_error(
             InputCode.TOO_MANY_TASKS, f"the job has {len(job.tasks)} tasks"
         )
@@ -146,4 +146,4 @@
         encoded += [sizes.encode(), task.body]
     if template:
         encoded.append(f"template {template}".encode())
-    return digest(*encoded)
+    return compute_digest(*encoded)
--- a/src/cactuswalk/http/callers.py
+++ b/src/cactuswalk/http/callers.py
@@ -35,7 +35,13 @@
 from cactuswalk.http.problems import InputCode, Problem, ProblemError
 from cactuswalk.http.templates import FindTemplate, apply_template, read_template
 from cactuswalk.messages import JobState
-from cactuswalk.model import Job, Outcome, RefusalCode, mint, submission_name
+from cactuswalk.model import (
+    Job,
+    Outcome,
+    RefusalCode,
+    format_submission_name,
+    generate_identifier,
+)
 from cactuswalk.model.configuration import JobTemplate
 from cactuswalk.settings import CallerIdentity, EntrySettings
 from cactuswalk.settings.converters import is_name
@@ -172,7 +178,7 @@
         key, state = await self._query(identity, request)
         if state.answer is not None:
             return _state_response(200, key, state)
-        name = submission_name(identity.team, key)
+        name = format_submission_name(identity.team, key)
         self.entry.cancel(CallerCancelled(name))
         return _state_response(202, key, state)
 
@@ -204,12 +210,12 @@
             raise make_problem_error(
                 RefusalCode.DEADLINE_PASSED, "the deadline passed while the body came"
             )
-        identifier, born_ms = key.key, key.born_ms
+        identifier, created_ms = key.key, key.created_ms
         if key.minted:
-            born_ms = int(self.wall_clock() * 1000)
-            identifier = mint(born_ms, self.generator)
-        job.submission = submission_name(job.team, identifier)
-        job.born_ms = born_ms
+            created_ms = int(self.wall_clock() * 1000)
+            identifier = generate_identifier(created_ms, self.generator)
+        job.submission = format_submission_name(job.team, identifier)
+        job.created_ms = created_ms
         named = template.name if template is not None else ""
         job.fingerprint = compute_fingerprint(job, key.first_sent_ms, named)
         if template is not None:
@@ -282,7 +288,7 @@
         service = request.query.get("service", "")
         if not is_valid_key(key) or (service and not is_name(service)):
             raise _not_found_error(key)
-        name = submission_name(identity.team, key)
+        name = format_submission_name(identity.team, key)
         state = await self.entry.query(name, service)
         if state is None:
             problem = Problem(
--- a/src/cactuswalk/http/headers.py
+++ b/src/cactuswalk/http/headers.py
@@ -7,7 +7,13 @@
 from aiohttp import web
 
 from cactuswalk.http.problems import InputCode, Problem, ProblemError
-from cactuswalk.model import Outcome, RefusalCode, SelectorError, birth_ms, parse
+from cactuswalk.model import (
+    Outcome,
+    RefusalCode,
+    SelectorError,
+    parse_selector,
+    read_creation_ms,
+)
 
 __all__ = [
     "CLOCK_MARGIN_MS",
@@ -69,7 +75,7 @@
 
     key: str = ""
     minted: bool = True
-    born_ms: int = 0
+    created_ms: int = 0
     first_sent_ms: int = 0
 
 
@@ -146,7 +152,7 @@
         raise make_problem_error(
             InputCode.INVALID_KEY, "the idempotency key can't be used"
         )
-    born, first_sent_ms = birth_ms(key), 0
+    born, first_sent_ms = read_creation_ms(key), 0
     if born is None and first_sent is None:
         raise make_problem_error(
             InputCode.KEY_WITHOUT_BIRTH, f"{key} does not tell when it was made"
@@ -261,7 +267,7 @@
             f"Use at most {MAX_SELECTOR_LENGTH}.",
         )
     try:
-        parse(value)
+        parse_selector(value)
     except SelectorError as error:
         raise make_problem_error(
             InputCode.INVALID_SELECTOR, error.message, error.remedy
--- a/src/cactuswalk/http/operators.py
+++ b/src/cactuswalk/http/operators.py
@@ -26,7 +26,7 @@
 from cactuswalk.http.operators_problems import operators_problem_middleware
 from cactuswalk.http.operators_store import ConfigurationKeys
 from cactuswalk.messages import ConfigurationUpdate
-from cactuswalk.model import matches, parse
+from cactuswalk.model import matches, parse_selector
 from cactuswalk.model.configuration import (
     KINDS,
     ConfigurationError,
@@ -125,7 +125,7 @@
     kind = request.query.get("kind", "")
     if kind:
         check_kind(kind)
-    selector = parse(request.query.get("selector", ""))
+    selector = parse_selector(request.query.get("selector", ""))
     found = []
     for key, stored in sorted(replica.objects.items()):
         if not stored.value or (kind and not key.startswith(f"{kind}/")):
@@ -221,7 +221,7 @@
 async def get_explanation(request: web.Request) -> web.Response:
     """Answer where a job may land."""
     query = dict(request.query)
-    parse(query.get("selector", ""))
+    parse_selector(query.get("selector", ""))
     return json_response(await request.app[INTERFACE].explain(query))
 
 
--- a/src/cactuswalk/messages/cell.py
+++ b/src/cactuswalk/messages/cell.py
@@ -1,7 +1,7 @@
 """Messages between the owner of a cell and its agents.
 
-Every message of an owner carries the cell's epoch. An agent refuses the work
-of an epoch below the highest it has seen.
+Every message of an owner carries the cell's epoch. An agent rejects messages of
+an epoch below the highest that it has seen.
 """
 
 import msgspec
@@ -13,16 +13,16 @@
 from cactuswalk.model.worker import Announcement
 
 __all__ = [
-    "Adopt",
-    "Adopted",
-    "AskShare",
-    "Ceded",
+    "ReplicateRecords",
+    "RecordsReplicated",
+    "SlotRequest",
+    "CededSlots",
     "Declined",
     "Fence",
     "Fenced",
     "HandOver",
-    "Heard",
-    "HeardReply",
+    "LastContactRequest",
+    "LastContactReply",
     "Join",
     "Leave",
     "Ping",
@@ -31,7 +31,7 @@
     "Record",
     "Result",
     "Running",
-    "Spare",
+    "SlotOffer",
     "Start",
     "Witness",
     "Witnessed",
@@ -39,14 +39,14 @@
 
 
 class Record(msgspec.Struct, array_like=True, gc=False):
-    """What an agent keeps of a task that it started or declined.
-
-    :param total: tasks in the job, so that a new owner can tell whether the
-        records it holds are all of it.
-    :param attempt: names the start: the owner's epoch in the high bits, a count
-        in the low ones, so that it grows across owners too.
-    :param incarnation: the life of the agent that it was started or declined by.
-    :param result: set once the task has ended.
+    """An agent's record of a task that it started or declined.
+
+    :param total: number of tasks in the job, so that a new owner can tell whether
+        it has the records of all of them.
+    :param attempt: identifies the start: the owner's epoch in the high bits and a
+        counter in the low bits, so that it also grows from owner to owner.
+    :param incarnation: of the agent that started or declined the task.
+    :param result: None until the task has ended.
     """
 
     submission: str
@@ -61,7 +61,7 @@
 
 
 class Join(msgspec.Struct, array_like=True, tag=20):
-    """An agent asks to be on the cell's roster, or announces a change."""
+    """An agent asks to be added to the cell's roster, or announces a change."""
 
     cell: str
     member: Member
@@ -69,7 +69,7 @@
 
 
 class Leave(msgspec.Struct, array_like=True, tag=21):
-    """An agent is stopping: give it nothing new, keep its records for it."""
+    """An agent is stopping: it takes no new tasks, and its records are kept."""
 
     cell: str
     member: Member
@@ -78,14 +78,14 @@
 class Ping(msgspec.Struct, array_like=True, tag=22):
     """The owner asks an agent to confirm its epoch.
 
-    :param serial: repeated in the pong; the owner counts its standing from
-        when it sent the ping, never from when the pong came.
-    :param configuration: the revision that the owner has in force.
+    :param serial: repeated in the pong; the owner's confirmation is dated from the
+        time at which it sent the ping, never from the arrival of the pong.
+    :param configuration: the configuration revision in force at the owner.
     :param announcement: serial of the agent's announcement that the owner has;
         an agent with a later one sends it again.
-    :param owner: with ``roster``, until the agent has confirmed a ping that
-        carried them; None and empty after that. A roster in every ping would
-        cost the owner bytes as the square of its cell's size.
+    :param owner: sent with ``roster`` until the agent has confirmed a ping that
+        contained both; afterwards they are None and empty. With the roster in
+        every ping, the bytes sent would grow with the square of the cell's size.
     """
 
     cell: str
@@ -98,15 +98,15 @@
 
 
 class Pong(msgspec.Struct, array_like=True, tag=23):
-    """An agent confirms the owner's epoch, and says what it is doing.
-
-    :param stamp: the agent's own monotonic clock in milliseconds; a start has
-        to bring it back while it is young.
-    :param running: attempts of the starts that it is running, each but the lowest
-        as its distance from the one below. One is nine bytes, a distance mostly
-        one; eight of them were half of a busy agent's control.
-    :param announcement_serial: of its latest announcement.
-    :param ahead: changes of the configuration in force beyond its revision.
+    """An agent confirms the owner's epoch and reports what it is running.
+
+    :param stamp: the agent's own monotonic clock in milliseconds; a start has to
+        repeat a recent one.
+    :param running: attempts that the agent is running, in ascending order and
+        delta-encoded. An attempt takes nine bytes, a difference mostly one; eight
+        attempts in full took half of the control traffic of a busy agent.
+    :param announcement_serial: of the agent's latest announcement.
+    :param ahead: configuration changes in force at the agent beyond its revision.
     """
 
     cell: str
@@ -124,10 +124,10 @@
 class Start(msgspec.Struct, array_like=True, tag=24, gc=False):
     """The owner starts a task at an agent.
 
-    :param incarnation: the life of the agent that it is meant for.
-    :param stamp: of that agent's latest pong; an old one is refused.
-    :param remaining_ms: of the deadline, counted from the stamp.
-    :param idempotent: a later attempt may run though an earlier one has.
+    :param incarnation: of the agent that the start is addressed to.
+    :param stamp: from that agent's latest pong; the agent refuses an old one.
+    :param remaining_ms: time until the deadline, counted from the stamp.
+    :param idempotent: the task may run again although an earlier attempt has run.
     """
 
     cell: str
@@ -148,7 +148,7 @@
 class Result(msgspec.Struct, array_like=True, tag=25, gc=False):
     """A task has ended at an agent.
 
-    :param elapsed_ms: from the call to the upstream to its answer.
+    :param elapsed_ms: time from the call to the upstream until its answer.
     """
 
     cell: str
@@ -161,7 +161,7 @@
 
 
 class Declined(msgspec.Struct, array_like=True, tag=26):
-    """An attempt did not start at this life of the agent, and never will."""
+    """An attempt did not start in this incarnation of the agent, and never will."""
 
     cell: str
     incarnation: str
@@ -173,9 +173,9 @@
 
 
 class Probe(msgspec.Struct, array_like=True, tag=27):
-    """Ask what became of an attempt; one that never came is then declined.
+    """Ask for the state of an attempt; one that never arrived is then declined.
 
-    :param stop: also stop it where it is running.
+    :param stop: also stop the attempt if it is running.
     """
 
     cell: str
@@ -197,15 +197,15 @@
     attempt: int
 
 
-class Heard(msgspec.Struct, array_like=True, tag=29):
-    """An agent that misses its owner asks the others whether they do too."""
+class LastContactRequest(msgspec.Struct, array_like=True, tag=29):
+    """An agent that no longer hears its owner asks the others when they last did."""
 
     cell: str
     epoch: int
 
 
-class HeardReply(msgspec.Struct, array_like=True, tag=30):
-    """How long ago the replying agent heard from the owner of an epoch."""
+class LastContactReply(msgspec.Struct, array_like=True, tag=30):
+    """How long ago the sender last heard from the owner of an epoch."""
 
     cell: str
     epoch: int
@@ -214,7 +214,7 @@
 
 
 class Fence(msgspec.Struct, array_like=True, tag=31):
-    """A new owner ends the earlier epochs at an agent and asks for records."""
+    """A new owner fences off earlier epochs at an agent and asks for its records."""
 
     cell: str
     epoch: int
@@ -222,10 +222,10 @@
 
 
 class Fenced(msgspec.Struct, array_like=True, tag=32):
-    """An agent has taken the new epoch; here is a part of its records.
+    """An agent has accepted the new epoch, and sends one part of its records.
 
-    :param silent_ms: since it last confirmed an earlier owner, when it was
-        fenced; a process that has just started counts from its start.
+    :param silent_ms: time between its last confirmation of an earlier owner, or
+        its own start if it has confirmed none, and the fence.
     :param known_ms: how far back the records are complete.
     """
 
@@ -241,10 +241,11 @@
 
 
 class Witness(msgspec.Struct, array_like=True, tag=33):
-    """The owner is about to start a task beside itself: keep a record of it.
+    """Ask an agent to keep the record of a task that starts on the owner's host.
 
-    Owner and worker share a host. Without a witness elsewhere, its death would
-    take both the order and the record, and nobody could tell whether it ran.
+    Owner and worker share that host. Without a witness on another host, a failure of
+    the host would lose both the start and its record, and whether the task ran would
+    be unknown.
     """
 
     cell: str
@@ -255,7 +256,7 @@
 
 
 class Witnessed(msgspec.Struct, array_like=True, tag=34):
-    """The record of a start beside the owner is kept here too."""
+    """The sender has stored the record of a start on the owner's host."""
 
     cell: str
     epoch: int
@@ -265,8 +266,8 @@
     attempt: int
 
 
-class Adopt(msgspec.Struct, array_like=True, tag=35):
-    """Keep copies of these records, so that one host's death loses none."""
+class ReplicateRecords(msgspec.Struct, array_like=True, tag=35):
+    """Store copies of records, so that the failure of one host loses none."""
 
     cell: str
     epoch: int
@@ -274,8 +275,8 @@
     records: list[Record]
 
 
-class Adopted(msgspec.Struct, array_like=True, tag=36):
-    """The records sent under ``token`` are kept here too."""
+class RecordsReplicated(msgspec.Struct, array_like=True, tag=36):
+    """The sender has stored the records sent under ``token``."""
 
     cell: str
     incarnation: str
@@ -283,38 +284,39 @@
 
 
 class HandOver(msgspec.Struct, array_like=True, tag=37):
-    """A stopping owner asks a member to take the cell over at once."""
+    """An owner that is stopping asks a member to take over the cell at once."""
 
     cell: str
     epoch: int
 
 
-class AskShare(msgspec.Struct, array_like=True, tag=38):
-    """The owner of a cell asks another's for slots of a service.
+class SlotRequest(msgspec.Struct, array_like=True, tag=38):
+    """The owner of a cell asks the owner of another for slots of a service.
 
-    :param held: open slots that the asking cell has.
-    :param workers: slots of its workers of the service.
+    :param open_slots: open slots that the requesting cell holds.
+    :param worker_slots: total task slots of its workers for the service.
     """
 
     cell: str
     service: str
-    held: int
-    workers: int
+    open_slots: int
+    worker_slots: int
 
 
-class Ceded(msgspec.Struct, array_like=True, tag=39):
-    """Slots that were ceded to the receiver's cell, as the giver's record has them.
+class CededSlots(msgspec.Struct, array_like=True, tag=39):
+    """Slots ceded to the receiver's cell, as stored in the record of the ceding cell.
 
-    :param life: of the giver; serials count anew in each.
+    :param cell_identity: name and identity of the ceding cell; the serials start
+        again with each identity.
     """
 
     cell: str
-    life: str
+    cell_identity: str
     holdings: list[Holding]
 
 
-class Spare(msgspec.Struct, array_like=True, tag=43):
-    """A cell has slots of a service, but no workers: it wants to be asked."""
+class SlotOffer(msgspec.Struct, array_like=True, tag=43):
+    """A cell without workers for a service offers the slots that it holds."""
 
     cell: str
     service: str
--- a/src/cactuswalk/messages/codec.py
+++ b/src/cactuswalk/messages/codec.py
@@ -1,4 +1,4 @@
-"""The messages of the cells' programs, as they travel in frames."""
+"""Encoding of the messages of the cells' processes into frames."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
     | submission.Subscribe
     | submission.CellReport
     | submission.Explain
-    | submission.Explained
+    | submission.Explanation
     | cell.Join
     | cell.Leave
     | cell.Ping
@@ -28,18 +28,18 @@
     | cell.Declined
     | cell.Probe
     | cell.Running
-    | cell.Heard
-    | cell.HeardReply
+    | cell.LastContactRequest
+    | cell.LastContactReply
     | cell.Fence
     | cell.Fenced
     | cell.Witness
     | cell.Witnessed
-    | cell.Adopt
-    | cell.Adopted
+    | cell.ReplicateRecords
+    | cell.RecordsReplicated
     | cell.HandOver
-    | cell.AskShare
-    | cell.Ceded
-    | cell.Spare
+    | cell.SlotRequest
+    | cell.CededSlots
+    | cell.SlotOffer
     | configuration.ConfigurationOffer
     | configuration.ConfigurationRequest
     | configuration.ConfigurationUpdate
@@ -47,7 +47,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """One frame: the sender's address, and its messages in order."""
+    """Content of one frame: the sender's address and its messages in order."""
 
     sender: str
     messages: list[Message]
--- a/src/cactuswalk/messages/configuration.py
+++ b/src/cactuswalk/messages/configuration.py
@@ -1,4 +1,4 @@
-"""Messages that spread the configuration from node to node."""
+"""Messages that replicate the configuration between nodes."""
 
 import msgspec
 
@@ -6,16 +6,16 @@
     "ConfigurationOffer",
     "ConfigurationRequest",
     "ConfigurationUpdate",
-    "NodesHolding",
+    "NodeStateCount",
     "StoredObject",
 ]
 
 
 class StoredObject(msgspec.Struct, array_like=True):
-    """One object of the configuration as the service holds it.
+    """One object of the configuration, as stored in the key-value service.
 
     :param key: ``kind/name``.
-    :param revision: of its last change; an older one never replaces it.
+    :param revision: of its last change; a lower one never replaces it.
     :param value: JSON; empty for a deleted object.
     """
 
@@ -24,8 +24,8 @@
     value: bytes
 
 
-class NodesHolding(msgspec.Struct, array_like=True):
-    """How many nodes of a cell hold the same state of the configuration."""
+class NodeStateCount(msgspec.Struct, array_like=True):
+    """Number of nodes of a cell that have the same state of the configuration."""
 
     revision: int
     ahead: list[int]
@@ -33,33 +33,32 @@
 
 
 class ConfigurationOffer(msgspec.Struct, array_like=True, tag=40):
-    """The sender has all changes up to ``revision`` in force.
+    """All changes up to ``revision`` are in force at the sender.
 
-    :param ahead: later changes that it has in force too, though it can't tell
-        whether there are others between.
-    :param cell: whose nodes ``held`` counts, empty where it counts none.
-    :param held: what the nodes of the cell hold, its owner included.
+    :param ahead: later changes that are in force too, although the sender can't
+        tell whether there are others in between.
+    :param cell: the cell whose nodes ``held`` counts; empty if there are none.
+    :param held: states of the nodes of the cell, including its owner.
     """
 
     revision: int
     ahead: list[int] = []
     cell: str = ""
-    held: list[NodesHolding] = []
+    held: list[NodeStateCount] = []
 
 
 class ConfigurationRequest(msgspec.Struct, array_like=True, tag=41):
-    """The sender holds ``revision`` and asks for what has changed since."""
+    """The sender has ``revision`` and asks for all later changes."""
 
     revision: int
 
 
 class ConfigurationUpdate(msgspec.Struct, array_like=True, tag=42):
-    """All changes after ``since`` that the sender has in force.
+    """All changes after ``since`` that are in force at the sender.
 
-    :param since: the receiver must hold at least this revision; 0 for a whole
-        copy.
-    :param revision: up to which the sender holds every change.
-    :param ahead: later changes that ``objects`` contain as well.
+    :param since: lowest revision that the receiver must have; 0 for a full copy.
+    :param revision: revision up to which the sender has every change.
+    :param ahead: later changes that ``objects`` contains as well.
     """
 
     since: int
--- a/src/cactuswalk/messages/submission.py
+++ b/src/cactuswalk/messages/submission.py
@@ -1,4 +1,4 @@
-"""Messages between entries and the owner of a cell."""
+"""Messages between entries and the owners of cells."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
     "Cancel",
     "CellReport",
     "Explain",
-    "Explained",
+    "Explanation",
     "Verdict",
     "JobState",
     "NotHeld",
@@ -24,16 +24,16 @@
 
 
 class Submit(msgspec.Struct, array_like=True, tag=1, gc=False):
-    """An entry hands a job to the owner; sent again, it joins the first.
-
-    :param attempt: of this entry for this submission; the answer repeats it.
-    :param fresh: the entry minted the identifier and never sent it before, so
-        nobody else can have started any of it.
-    :param remaining_ms: until the caller's deadline, at the time of sending.
-    :param age_ms: since the identifier's birth, by the entry's wall clock.
-    :param stamp: the owner's own clock, from its latest report to this entry;
-        an old one is refused, so a copy that the network held back can't run
-        after its caller was told that nothing did.
+    """An entry submits a job to the owner; a repetition joins the first submission.
+
+    :param attempt: number of this entry's attempt; the answer repeats it.
+    :param fresh: the entry generated the identifier and has not sent it before, so
+        that no task of it can have been started elsewhere.
+    :param remaining_ms: time until the caller's deadline, when it was sent.
+    :param age_ms: time since the identifier was created, by the entry's wall clock.
+    :param stamp: the owner's clock, from its latest report to this entry. The owner
+        refuses an old one, so that a copy that was delayed in the network can't run
+        after the caller was told that nothing ran.
     """
 
     job: Job
@@ -46,13 +46,13 @@
 
 
 class Answer(msgspec.Struct, array_like=True, tag=2, gc=False):
-    """The final answer to a submission; the first one given stands.
+    """The final answer to a submission; the first one given is never changed.
 
     :param results: of every task, in order, for ``answered`` and ``failed``.
-    :param digest: over the results' digests, checked by the entry.
-    :param epoch: of the owner that gives it.
-    :param stamp: the owner's own clock, as in its reports; an entry that gets
-        answers has no need to ask for one.
+    :param digest: of the fingerprint and the results' digests; the entry checks it.
+    :param epoch: of the owner that answers.
+    :param stamp: the owner's clock, as in its reports, so that an entry that gets
+        answers need not ask for a report.
     """
 
     submission: str
@@ -67,16 +67,16 @@
 
 
 class Cancel(msgspec.Struct, array_like=True, tag=3):
-    """Stop a submission: what has not started never will."""
+    """Cancel a submission: its tasks that have not started never will."""
 
     submission: str
 
 
 class Query(msgspec.Struct, array_like=True, tag=4):
-    """Ask where a submission stands; the reply repeats all of it.
+    """Ask for the state of a submission; the reply repeats all fields.
 
-    :param request: names a caller's question, empty for the entry's own.
-    :param attempt: of the entry's latest submit, for its own question.
+    :param request: identifies a caller's query; empty for one of the entry itself.
+    :param attempt: of the entry's latest ``Submit``, for a query of its own.
     """
 
     submission: str
@@ -85,12 +85,12 @@
 
 
 class JobState(msgspec.Struct, array_like=True, tag=5):
-    """Where a submission stands; ``answer`` is set once there is one.
+    """The state of a submission; ``answer`` is None until there is one.
 
-    ``known`` is False where the owner has no record of the submission.
+    ``known`` is False if the owner has no record of the submission.
 
-    :param attempt: of the query; an answer that was asked for by an earlier try
-        must not end a later one, which may be running.
+    :param attempt: of the query; the answer to a query of an earlier attempt must
+        not end a later attempt, which may be running.
     """
 
     submission: str
@@ -105,10 +105,10 @@
 
 
 class NotOwner(msgspec.Struct, array_like=True, tag=6):
-    """The receiver does not own the cell; nothing was done with the message.
+    """The sender does not own the cell and has ignored the message.
 
-    :param owner: address of the owner it knows of, empty for none.
-    :param submission: the refused one, empty if it was no submission.
+    :param owner: address of the owner as far as the sender knows; empty for none.
+    :param submission: the refused submission; empty for another message.
     :param attempt: of the refused submission.
     """
 
@@ -120,9 +120,9 @@
 
 
 class NotHeld(msgspec.Struct, array_like=True, tag=11):
-    """The cell does not hold the submission; nothing of it ran or will run there.
+    """The cell does not hold the submission; no task of it ran or will run there.
 
-    :param holder: the cell that may hold it, empty if the owner knows of none.
+    :param holder: a cell that may hold it; empty if the owner knows of none.
     """
 
     cell: str
@@ -133,10 +133,10 @@
 
 
 class Subscribe(msgspec.Struct, array_like=True, tag=7):
-    """An entry asks an owner for a report now, and for news until it asks again.
+    """An entry asks an owner for a report now, and for changes until it asks again.
 
-    :param epoch: of the owner that it knows, 0 for none; with ``serial``, what
-        it holds of the cell's workers.
+    :param epoch: of the owner that the entry knows, 0 for none; with ``serial``, it
+        identifies the announcements of the cell's workers that the entry has.
     """
 
     cell: str
@@ -145,22 +145,22 @@
 
 
 class Explain(msgspec.Struct, array_like=True, tag=9):
-    """An operator asks where a job could be placed; nothing is placed."""
+    """An operator asks where a job could be placed, without placing it."""
 
     request: str
     job: Job
 
 
 class Verdict(msgspec.Struct, array_like=True):
-    """Whether a worker could take a job now, and why or why not."""
+    """Whether a worker could take a job now, with the reason."""
 
     worker: str
     fits: bool
     verdict: str
 
 
-class Explained(msgspec.Struct, array_like=True, tag=10):
-    """The owner's answer, by the code that places jobs."""
+class Explanation(msgspec.Struct, array_like=True, tag=10):
+    """The owner's answer to ``Explain``, given by the code that places jobs."""
 
     request: str
     cell: str
@@ -168,16 +168,17 @@
 
 
 class CellReport(msgspec.Struct, array_like=True, tag=8):
-    """What an entry needs to choose and explain a cell, folded by its owner.
+    """The owner's summary of its cell, from which entries choose and explain cells.
 
-    :param free_slots: per service, after what is queued.
-    :param workers: announcements of the cell's workers, None where the entry
-        has those of ``serial`` already.
-    :param configuration: what the owner and its agents have in force.
+    :param free_slots: per service, less the queued tasks.
+    :param workers: announcements of the cell's workers; None if the entry already
+        has those of ``serial``.
+    :param configuration: state of the configuration at the owner and its agents.
     :param stamp: the owner's monotonic clock in milliseconds, see ``Submit``.
-    :param entries: that ask this owner; each slows down as they grow more.
-    :param young_ms: for so long still a cell that has just begun refuses the keys
-        that callers chose; 0 for all others.
+    :param entries: number of entries that ask this owner; each asks less often as it
+        grows.
+    :param refuses_keys_ms: for how much longer a new cell refuses keys that callers
+        have chosen; 0 for any other cell.
     """
 
     cell: str
@@ -189,4 +190,4 @@
     configuration: ConfigurationOffer
     stamp: int
     entries: int = 1
-    young_ms: int = 0
+    refuses_keys_ms: int = 0
--- a/src/cactuswalk/model/__init__.py
+++ b/src/cactuswalk/model/__init__.py
@@ -1,4 +1,4 @@
-"""What the brief names: jobs, tasks, workers, outcomes, and their identifiers."""
+"""Domain model: jobs, tasks, workers, outcomes, and their identifiers."""
 
 from cactuswalk.model.answer import (
     Outcome,
@@ -11,10 +11,10 @@
 from cactuswalk.model.cell import CellRecord, Member
 from cactuswalk.model.holding import Holding, ServiceRecord
 from cactuswalk.model.identifier import (
-    birth_ms,
-    digest,
-    mint,
-    submission_name,
+    compute_digest,
+    format_submission_name,
+    generate_identifier,
+    read_creation_ms,
 )
 from cactuswalk.model.job import Job, TaskSpec
 from cactuswalk.model.selector import (
@@ -22,7 +22,7 @@
     Selector,
     SelectorError,
     matches,
-    parse,
+    parse_selector,
     worker_labels,
 )
 from cactuswalk.model.worker import Announcement, Capacity
@@ -45,11 +45,11 @@
     "TaskResult",
     "TaskSpec",
     "TaskState",
-    "birth_ms",
-    "digest",
+    "read_creation_ms",
+    "compute_digest",
     "matches",
-    "mint",
-    "parse",
-    "submission_name",
+    "generate_identifier",
+    "parse_selector",
+    "format_submission_name",
     "worker_labels",
 ]
--- a/src/cactuswalk/model/answer.py
+++ b/src/cactuswalk/model/answer.py
@@ -1,4 +1,4 @@
-"""Outcomes of tasks and jobs, and the refusals that tell a caller the truth."""
+"""Outcomes of tasks and jobs, and the reasons for refusals."""
 
 import enum
 
@@ -15,7 +15,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request or a job, as the caller is told."""
+    """Outcome of a request or a job, as reported to the caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -24,7 +24,7 @@
 
 
 class TaskOutcome(enum.StrEnum):
-    """What became of one task of a job."""
+    """Outcome of one task of a job."""
 
     DONE = "done"
     FAILED = "failed"
@@ -33,7 +33,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """Where a task stands in an agent's record of it.
+    """State of a task in an agent's record.
 
     ``DECLINED`` is a tombstone: that attempt will never start at this agent.
     """
@@ -45,7 +45,7 @@
 
 
 class RefusalCode(enum.StrEnum):
-    """Why something was refused; stable, since callers act on it."""
+    """Reason for a refusal; the values are stable, since callers act on them."""
 
     OVERLOADED = "overloaded"
     QUOTA_EXCEEDED = "quota_exceeded"
@@ -67,11 +67,11 @@
 
 
 class Refusal(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Why a caller gets no answer, and when to come back.
+    """Why a caller gets no answer, and when to try again.
 
     :param code: the stable reason.
-    :param message: a sentence with the values that led to it.
-    :param retry_after_ms: when asking again is worth while; None for never.
+    :param message: a sentence with the values that led to the refusal.
+    :param retry_after_ms: time after which a retry can succeed; None for never.
     """
 
     code: RefusalCode
@@ -80,12 +80,12 @@
 
 
 class TaskResult(msgspec.Struct, array_like=True, gc=False):
-    """The outcome of one task, with the upstream's body where it is done.
+    """The outcome of one task, with the upstream's response body if it is done.
 
-    :param index: the task's place in its job, from 0.
-    :param status: of the upstream; 0 where it gave none, or does not count.
-    :param digest: of the body, taken beside the upstream; a body that no
-        longer matches it was cut short or mixed up and is never delivered.
+    :param index: the task's position in its job, from 0.
+    :param status: of the upstream's response; 0 if there was none or it is ignored.
+    :param digest: of the body, computed on the upstream's host; a body that doesn't
+        match it was truncated or mixed up and is never delivered.
     """
 
     index: int
@@ -96,10 +96,11 @@
     reason: str = ""
 
     @property
-    def guarded(self) -> bool:
-        """Return whether its worker's guard stopped it: failed without a status.
+    def is_stopped_by_guard(self) -> bool:
+        """Return whether the worker's guard stopped the task, which then has no status.
 
-        Callers whose tasks outgrow their declarations would else get one sound
-        worker after the other ejected.
+        Such a failure must not count against the worker: callers whose tasks exceed
+        their declarations would otherwise get one healthy worker after another
+        ejected.
         """
         return self.outcome is TaskOutcome.FAILED and not self.status
--- a/src/cactuswalk/model/cell.py
+++ b/src/cactuswalk/model/cell.py
@@ -1,4 +1,4 @@
-"""A cell: some tens of workers whose starts are all decided by one owner."""
+"""Cells: groups of some tens of workers whose starts one owner decides."""
 
 import msgspec
 
@@ -13,12 +13,12 @@
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """One life of one agent: a restarted agent is another member.
+    """One incarnation of an agent: a restarted agent is a different member.
 
     :param worker: the worker's name from the settings.
-    :param incarnation: drawn at start; an agent that lost its memory must not
-        speak for the one that had it.
-    :param address: where its messages go, ``tcp://ip:port``.
+    :param incarnation: generated at start; an agent that restarted without its
+        records must not be mistaken for the one that had them.
+    :param address: where its messages are sent, ``tcp://ip:port``.
     """
 
     worker: str
@@ -27,22 +27,23 @@
 
 
 class CellRecord(msgspec.Struct):
-    """What the key-value service keeps of a cell; changed only by swaps.
-
-    :param epoch: grows by one with each takeover; an agent that has seen it
-        accepts nothing from an owner of an earlier one.
-    :param roster: the agents that the owner may start tasks at.
-    :param departed: members removed less than the retention window ago that
-        took records with them which nobody else holds.
-    :param backed_up: another member holds copies of all records of the owner's
-        own agent, so that the loss of the owner's host alone loses none.
-    :param write_id: names the write, so that a swap whose reply was lost can
-        be recognised when it is read back.
-    :param identity: of this life of the cell; one whose record was lost and
-        written anew must not pass for the one that had it.
-    :param holdings: which submissions fall to this cell.
+    """A cell's record in the key-value service; changed only by compare-and-swap.
+
+    :param epoch: incremented by each takeover; an agent that has seen it accepts
+        nothing from the owner of an earlier epoch.
+    :param roster: the agents at which the owner may start tasks.
+    :param departed: members that were removed less than the retention window ago
+        and had records of which there is no other copy.
+    :param backed_up: another member has copies of all records of the agent on the
+        owner's host, so that a failure of that host alone loses none.
+    :param write_id: identifies the write, so that a swap whose reply was lost can
+        be recognised when the record is read back.
+    :param identity: generated with the record; a cell whose record was lost and
+        written anew must not be mistaken for the earlier one.
+    :param holdings: the submissions that belong to this cell.
     :param founded: services of which it was the first holder.
-    :param taken: by the life of a cell, the last cession taken from it.
+    :param taken: serial of the last cession accepted from each other cell, by that
+        cell's name and identity.
     """
 
     cell: str
--- a/src/cactuswalk/model/configuration.py
+++ b/src/cactuswalk/model/configuration.py
@@ -1,8 +1,8 @@
-"""What operators create: services, workers, job templates and teams.
+"""Objects that operators create: services, workers, job templates and teams.
 
-An object is data, not settings: it has a kind, a name and labels, and is
-written, stored and sent as JSON. It is checked whole before it is written
-anywhere, and each mistake names the field, the value and the remedy.
+An object has a kind, a name and labels, and is written, stored and sent as JSON. It
+is validated completely before it is stored, and each mistake names the field, the
+value and the remedy.
 """
 
 import json
@@ -12,7 +12,7 @@
 import msgspec
 
 from cactuswalk.errors import UsageError
-from cactuswalk.model.selector import SelectorError, parse
+from cactuswalk.model.selector import SelectorError, parse_selector
 
 __all__ = [
     "KINDS",
@@ -31,22 +31,22 @@
     "read_objects",
 ]
 
-# The words of the selector grammar: a label that no selector can name is of no
-# use, and a name that needs escapes in an address or a key invites mistakes.
+# The words of the selector grammar, since a label that no selector can name is
+# useless. Names need no escaping in URLs and keys.
 WORD = re.compile(r"[^\W_][\w./-]*\Z")
 NAME = re.compile(r"[^\W_][\w.-]*\Z")
-MAXIMUM_NAME = 63
-# See ``worker_labels``.
+MAX_NAME_CHARACTERS = 63
+# Labels that ``worker_labels`` sets itself.
 RESERVED_LABELS = frozenset(("worker", "service", "data-centre", "rack"))
-MAXIMUM_LABELS = 64
-# The service holds values up to a megabyte (the brief) with up to 20 changes of
-# history beside the object, and each node keeps every object in memory.
-MAXIMUM_OBJECT_BYTES = 16_384
-MAXIMUM_DEADLINE_MS = 3_600_000
-# Ratios between teams' weights beyond this make the lighter team's wait longer
-# than any deadline, which is a refusal that nobody decided on.
-MAXIMUM_WEIGHT = 1000
-MAXIMUM_COUNT = 1_000_000_000
+MAX_LABELS = 64
+# The key-value service stores values of up to one megabyte, which also contain up to
+# 20 changes of the object's history, and each node keeps every object in memory.
+MAX_OBJECT_BYTES = 16_384
+MAX_DEADLINE_MS = 3_600_000
+# With larger ratios between the weights of teams, the jobs of the lighter team would
+# wait beyond any deadline, which amounts to refusing them.
+MAX_WEIGHT = 1000
+MAX_COUNT = 1_000_000_000
 
 Labels = dict[str, str]
 
@@ -54,9 +54,10 @@
 class Service(msgspec.Struct, kw_only=True, tag="service", tag_field="kind"):
     """A service that upstreams offer.
 
-    :param selector: which of the workers that announce it may serve it.
-    :param hedge: ask a second worker for an idempotent request that takes
-        unusually long; shorter waits for more calls of the upstreams.
+    :param selector: selects the workers that may serve it, among those that
+        announce it.
+    :param hedge: send an idempotent request that takes unusually long to a second
+        worker as well: lower latency at the cost of more upstream calls.
     """
 
     name: str
@@ -66,10 +67,10 @@
 
 
 class WorkerEntry(msgspec.Struct, kw_only=True, tag="worker", tag_field="kind"):
-    """What operators say of a worker; the worker announces itself the rest.
+    """What operators set on a worker; the worker announces everything else.
 
-    :param labels: go before the announced ones, see ``merge_labels``.
-    :param drained: the worker gets no new work; what runs there ends.
+    :param labels: override the announced ones, see ``merge_labels``.
+    :param drained: the worker gets no new tasks; running ones finish.
     """
 
     name: str
@@ -80,7 +81,7 @@
 class JobTemplate(msgspec.Struct, kw_only=True, tag="job", tag_field="kind"):
     """Defaults for jobs that name this template.
 
-    :param deadline_ms: for callers that give none; 0 for the entry's own.
+    :param deadline_ms: for callers that give none; 0 for the entry's default.
     :param duration_ms: declared run time of a task; 0 for undeclared.
     """
 
@@ -97,8 +98,9 @@
 class Team(msgspec.Struct, kw_only=True, tag="team", tag_field="kind"):
     """A team of callers and its share.
 
-    :param weight: its share against other teams' when slots are short.
-    :param maximum_running: tasks of it that may run at one time; None for any.
+    :param weight: its share relative to other teams when slots are scarce.
+    :param maximum_running: limit of its tasks that run at one time; None for no
+        limit.
     """
 
     name: str
@@ -118,7 +120,7 @@
 
 
 class Mistake(msgspec.Struct, frozen=True):
-    """One thing that is wrong with an object."""
+    """One invalid field of an object."""
 
     field: str
     value: str
@@ -126,7 +128,7 @@
 
 
 class ConfigurationError(UsageError):
-    """An object is wrong; every mistake is in ``mistakes`` and in the message."""
+    """An object is invalid; ``mistakes`` and the message contain every mistake."""
 
     code = "invalid_object"
 
@@ -136,7 +138,7 @@
         self.mistakes = mistakes
 
 
-# A checker returns the remedy for a wrong value, None for a right one.
+# A checker returns the remedy for an invalid value, None for a valid one.
 Checker = Callable[[object], str | None]
 
 
@@ -144,125 +146,129 @@
     """Check the name of an object."""
     if not isinstance(value, str) or not NAME.match(value):
         return "give letters, digits, '.', '_' or '-', a letter or digit first"
-    if len(value) > MAXIMUM_NAME:
-        return f"give at most {MAXIMUM_NAME} characters"
+    if len(value) > MAX_NAME_CHARACTERS:
+        return f"give at most {MAX_NAME_CHARACTERS} characters"
     return None
 
 
 def check_labels(value: object) -> str | None:
-    """Check labels: words of the selector grammar, values possibly empty."""
+    """Check labels: words of the selector grammar; a value may be empty."""
     if not isinstance(value, dict):
         return 'give an object of texts, as {"tier": "gold"}'
-    if len(value) > MAXIMUM_LABELS:
-        return f"give at most {MAXIMUM_LABELS} labels"
+    if len(value) > MAX_LABELS:
+        return f"give at most {MAX_LABELS} labels"
     for label, text in value.items():
-        if not WORD.match(label) or len(label) > MAXIMUM_NAME:
+        if not WORD.match(label) or len(label) > MAX_NAME_CHARACTERS:
             return (
                 f"rename the label {label!r}: letters, digits, '.', '_', '/' or "
-                f"'-', a letter or digit first, at most {MAXIMUM_NAME}"
+                f"'-', a letter or digit first, at most {MAX_NAME_CHARACTERS}"
             )
         if not isinstance(text, str) or not WORD.match(text or "x"):
             return f"change the value of {label!r} to a text of such characters"
-        if len(text) > MAXIMUM_NAME:
-            return f"shorten the value of {label!r} to {MAXIMUM_NAME} characters"
+        if len(text) > MAX_NAME_CHARACTERS:
+            return f"shorten the value of {label!r} to {MAX_NAME_CHARACTERS} characters"
     return None
 
 
 def check_selector(value: object) -> str | None:
-    """Check a selector by the parser that will read it."""
+    """Check a selector with the parser that will read it."""
     if not isinstance(value, str):
         return "give a selector as a text, as 'tier=gold,!old'"
     try:
-        parse(value)
+        parse_selector(value)
     except SelectorError as error:
         return f"{error.message}\n  {error.remedy}"
     return None
 
 
 def check_reference(value: object) -> str | None:
-    """Check the name of another object; empty for none."""
+    """Check a reference to another object by name; empty for none."""
     return None if value == "" else check_name(value)
 
 
-def check_flag(value: object) -> str | None:
-    """Check a yes or no."""
+def check_boolean(value: object) -> str | None:
+    """Check a boolean."""
     return None if isinstance(value, bool) else "give true or false"
 
 
-def whole_number(lowest: int, highest: int, optional: bool = False) -> Checker:
-    """Return a checker of whole numbers within bounds, both included."""
+def integer_in_range(minimum: int, maximum: int, optional: bool = False) -> Checker:
+    """Return a checker of integers within bounds, both inclusive."""
 
     def check(value: object) -> str | None:
         if optional and value is None:
             return None
-        whole = isinstance(value, int) and not isinstance(value, bool)
-        if whole and lowest <= value <= highest:
+        is_integer = isinstance(value, int) and not isinstance(value, bool)
+        if is_integer and minimum <= value <= maximum:
             return None
-        also = " or null" if optional else ""
-        return f"give a whole number from {lowest} to {highest}{also}"
+        null_hint = " or null" if optional else ""
+        return f"give a whole number from {minimum} to {maximum}{null_hint}"
 
     return check
 
 
 def check_worker_labels(value: object) -> str | None:
-    """Check a worker's labels, which must leave its place to the worker.
+    """Check a worker's labels, among which the announced ones are reserved.
 
-    A worker's place always goes before a label of the same name, so such a
-    label would be accepted and then have no effect.
+    The announced location always overrides a label of the same name, so such a
+    label would be accepted without having any effect.
     """
-    wrong = check_labels(value)
-    if wrong is not None:
-        return wrong
+    mistake = check_labels(value)
+    if mistake is not None:
+        return mistake
     for label in value:
         if label in RESERVED_LABELS:
             return f"rename the label {label!r}: the worker announces it itself"
     return None
 
 
-COMMON: dict[str, Checker] = {"name": check_name, "labels": check_labels}
+COMMON_FIELDS: dict[str, Checker] = {"name": check_name, "labels": check_labels}
 FIELDS: dict[str, dict[str, Checker]] = {
-    "service": COMMON | {"selector": check_selector, "hedge": check_flag},
-    "worker": COMMON | {"labels": check_worker_labels, "drained": check_flag},
-    "job": COMMON
+    "service": COMMON_FIELDS | {"selector": check_selector, "hedge": check_boolean},
+    "worker": COMMON_FIELDS | {"labels": check_worker_labels, "drained": check_boolean},
+    "job": COMMON_FIELDS
     | {
         "service": check_reference,
         "selector": check_selector,
-        "deadline_ms": whole_number(0, MAXIMUM_DEADLINE_MS),
-        "duration_ms": whole_number(0, MAXIMUM_DEADLINE_MS),
-        "memory_mb": whole_number(0, MAXIMUM_COUNT),
-        "accelerators": whole_number(0, MAXIMUM_COUNT),
+        "deadline_ms": integer_in_range(0, MAX_DEADLINE_MS),
+        "duration_ms": integer_in_range(0, MAX_DEADLINE_MS),
+        "memory_mb": integer_in_range(0, MAX_COUNT),
+        "accelerators": integer_in_range(0, MAX_COUNT),
     },
-    "team": COMMON
+    "team": COMMON_FIELDS
     | {
-        "weight": whole_number(1, MAXIMUM_WEIGHT),
-        "maximum_running": whole_number(0, MAXIMUM_COUNT, optional=True),
+        "weight": integer_in_range(1, MAX_WEIGHT),
+        "maximum_running": integer_in_range(0, MAX_COUNT, optional=True),
     },
 }
 
 
 def check_object(data: object) -> OperatorObject:
-    """Return the object that some decoded JSON describes.
+    """Return the object that decoded JSON describes.
 
-    :raises ConfigurationError: with every mistake in it.
+    :raises ConfigurationError: with every mistake of the object.
     """
     mistakes = find_mistakes(data)
     if mistakes:
         raise ConfigurationError(mistakes)
     checked = msgspec.convert(data, OperatorObject)
     size = len(encode_object(checked))
-    if size > MAXIMUM_OBJECT_BYTES:
-        remedy = f"shorten it to {MAXIMUM_OBJECT_BYTES} bytes"
+    if size > MAX_OBJECT_BYTES:
+        remedy = f"shorten it to {MAX_OBJECT_BYTES} bytes"
         raise ConfigurationError([Mistake("(all)", f"{size} bytes", remedy)])
     return checked
 
 
 def find_mistakes(data: object) -> list[Mistake]:
-    """Return what is wrong with some decoded JSON as an object."""
+    """Return the mistakes of decoded JSON that should describe an object."""
     if not isinstance(data, dict):
-        return [Mistake("(all)", show(data), 'give an object, as {"kind": "worker"}')]
+        return [
+            Mistake(
+                "(all)", format_value(data), 'give an object, as {"kind": "worker"}'
+            )
+        ]
     kind = data.get("kind")
     if not isinstance(kind, str) or kind not in FIELDS:
-        return [Mistake("kind", show(kind), f"give one of {', '.join(KINDS)}")]
+        return [Mistake("kind", format_value(kind), f"give one of {', '.join(KINDS)}")]
     fields = FIELDS[kind]
     mistakes = []
     if "name" not in data:
@@ -272,28 +278,30 @@
             continue
         if field not in fields:
             remedy = f"remove it; a {kind} has {', '.join(fields)}"
-            mistakes.append(Mistake(printable(field), show(value), remedy))
+            mistakes.append(
+                Mistake(escape_surrogates(field), format_value(value), remedy)
+            )
         elif (remedy := fields[field](value)) is not None:
-            mistakes.append(Mistake(field, show(value), remedy))
+            mistakes.append(Mistake(field, format_value(value), remedy))
     return mistakes
 
 
-def show(value: object) -> str:
-    """Return a value as JSON, cut short where it is long."""
-    text = printable(json.dumps(value, ensure_ascii=False, default=str))
+def format_value(value: object) -> str:
+    """Return a value as JSON, truncated to 80 characters."""
+    text = escape_surrogates(json.dumps(value, ensure_ascii=False, default=str))
     return text if len(text) <= 80 else f"{text[:77]}..."
 
 
-def printable(text: str) -> str:
-    """Return a text that UTF-8 can carry: JSON may hold half a character."""
+def escape_surrogates(text: str) -> str:
+    """Escape lone surrogates, which JSON may contain and UTF-8 can't encode."""
     return text.encode("utf-8", "backslashreplace").decode("utf-8")
 
 
 def read_objects(text: str | bytes) -> list[OperatorObject]:
     """Return the objects in a JSON text: one object, or a list of them.
 
-    :raises ConfigurationError: with every mistake in every object; a field is
-        then named with the object's place in the list.
+    :raises ConfigurationError: with every mistake of every object; the fields of a
+        list's objects are prefixed with the object's index.
     """
     try:
         data = json.loads(text)
@@ -315,7 +323,9 @@
         key = object_key(checked)
         if key in objects:
             remedy = "give each object once"
-            mistakes.append(Mistake(f"[{index}].name", show(checked.name), remedy))
+            mistakes.append(
+                Mistake(f"[{index}].name", format_value(checked.name), remedy)
+            )
         objects[key] = checked
     if mistakes:
         raise ConfigurationError(mistakes)
@@ -323,7 +333,7 @@
 
 
 def encode_object(value: OperatorObject) -> bytes:
-    """Return an object's JSON, the same bytes for the same object."""
+    """Return an object's JSON; equal objects give equal bytes."""
     return msgspec.json.encode(value, order="deterministic")
 
 
@@ -331,10 +341,10 @@
 
 
 def decode_object(value: bytes) -> OperatorObject:
-    """Return the object in JSON that was checked before it was stored.
+    """Return the object in JSON that was validated before it was stored.
 
-    A field that a later release has added is passed over, so that releases can
-    meet during an upgrade.
+    Unknown fields are ignored, so that releases can run side by side during an
+    upgrade although the later one has added a field.
     """
     return _decoder.decode(value)
 
@@ -345,7 +355,7 @@
 
 
 def merge_labels(announced: Labels, worker: WorkerEntry | None) -> Labels:
-    """Return a worker's labels; the operators' go before the announced ones."""
+    """Return a worker's labels; those set by operators override the announced ones."""
     if worker is None:
         return announced
     return announced | worker.labels
--- a/src/cactuswalk/model/holding.py
+++ b/src/cactuswalk/model/holding.py
@@ -1,36 +1,38 @@
-"""Which submissions a cell holds: slots of a service, by the key's birth."""
+"""Assignment of submissions to cells, by slot of a service and creation time."""
 
 import msgspec
 
-from cactuswalk.model.identifier import digest
+from cactuswalk.model.identifier import compute_digest
 
 __all__ = [
     "SLOT_COUNT",
     "Holding",
     "ServiceRecord",
-    "covers",
-    "open_slots",
+    "holds_submission",
+    "count_open_slots",
     "service_key",
-    "slot_of",
-    "successor",
+    "compute_slot",
+    "find_next_holder",
 ]
 
-# Two slots for each of the 518 cells that docs/CAPACITY.md reckons with at the
-# target, if one service were on all of them; a record of 16 cells takes 1.8 KB.
+# Two slots for each of the 518 cells that docs/CAPACITY.md plans for at the target
+# load, if one service were on all of them; a record of 16 cells takes 1.8 KB.
 SLOT_COUNT = 1024
 
 
 class Holding(msgspec.Struct, array_like=True, frozen=True):
-    """A span of a service's slots that a cell holds, for keys born in a span of time.
-
-    Who holds a key never changes: a cell cedes only keys that are not born yet.
-
-    :param first: the first slot, ``last`` the last one.
-    :param since_ms: births from this wall clock on, in milliseconds.
-    :param until_ms: births before this; 0 as long as nothing was ceded.
-    :param source: the cell that ceded it to this one, empty at the first holder.
-    :param to: the cell that later births were ceded to.
-    :param serial: of the cession; the receiver takes each serial once.
+    """A range of a service's slots that a cell holds, for keys created in an interval.
+
+    The holder of a key never changes: a cell cedes only keys created in the future.
+
+    :param first: the first slot of the range.
+    :param last: the last slot of the range, inclusive.
+    :param since_ms: start of the interval, wall clock in milliseconds.
+    :param until_ms: end of the interval, exclusive; 0 until the range is ceded.
+    :param ceded_by: the cell that ceded the range to this one; empty for the first
+        holder.
+    :param ceded_to: the cell that holds keys created after the interval.
+    :param serial: of the cession; the receiving cell accepts each serial once.
     """
 
     service: str
@@ -38,24 +40,25 @@
     last: int
     since_ms: int
     until_ms: int = 0
-    source: str = ""
-    to: str = ""
+    ceded_by: str = ""
+    ceded_to: str = ""
     serial: int = 0
 
-    def has(self, slot: int, born_ms: int) -> bool:
-        """Tell whether a key of this slot and birth is in it."""
-        if not self.first <= slot <= self.last or born_ms < self.since_ms:
+    def contains(self, slot: int, created_ms: int) -> bool:
+        """Return whether a key with this slot and creation time belongs to it."""
+        if not self.first <= slot <= self.last or created_ms < self.since_ms:
             return False
-        return self.until_ms == 0 or born_ms < self.until_ms
+        return self.until_ms == 0 or created_ms < self.until_ms
 
 
 class ServiceRecord(msgspec.Struct):
-    """What the key-value service keeps of a service's cells.
+    """The record of a service's cells in the key-value service.
 
-    :param founder: the life of the cell that held all slots first; settled by
+    :param founder: name and identity of the cell that first held all slots; set by
         the swap that creates the key, and never changed.
-    :param cells: names of the cells that take part, the founder first.
-    :param write_id: names the write, for the platform's client to settle it by.
+    :param cells: names of the cells that serve it, the founder first.
+    :param write_id: identifies the write, by which the platform's client resolves a
+        swap whose outcome is in doubt.
     """
 
     founder: str
@@ -68,21 +71,23 @@
     return f"holders/{service}"
 
 
-def slot_of(submission: str) -> int:
-    """Return the slot of a submission: the same on every node, for ever."""
-    return int.from_bytes(digest(submission.encode())[:8], "big") % SLOT_COUNT
+def compute_slot(submission: str) -> int:
+    """Return the slot of a submission, which is the same on every node for ever."""
+    return int.from_bytes(compute_digest(submission.encode())[:8], "big") % SLOT_COUNT
 
 
-def covers(
-    holdings: list[Holding], service: str, submission: str, born_ms: int
+def holds_submission(
+    holdings: list[Holding], service: str, submission: str, created_ms: int
 ) -> bool:
-    """Tell whether a submission falls to the holder of these."""
-    slot = slot_of(submission)
-    return any(one.service == service and one.has(slot, born_ms) for one in holdings)
+    """Return whether a submission belongs to the cell with these holdings."""
+    slot = compute_slot(submission)
+    return any(
+        one.service == service and one.contains(slot, created_ms) for one in holdings
+    )
 
 
-def open_slots(holdings: list[Holding], service: str) -> int:
-    """Return how many slots are held for keys that are yet to be born."""
+def count_open_slots(holdings: list[Holding], service: str) -> int:
+    """Return the number of slots held for keys created in the future."""
     return sum(
         one.last - one.first + 1
         for one in holdings
@@ -90,20 +95,20 @@
     )
 
 
-def successor(
-    holdings: list[Holding], service: str, submission: str, born_ms: int
+def find_next_holder(
+    holdings: list[Holding], service: str, submission: str, created_ms: int
 ) -> str:
-    """Return the cell to ask about a submission that these don't cover.
+    """Return the cell to ask about a submission that these holdings don't contain.
 
-    Empty if its slot was never held here.
+    Returns an empty string if the cell has never held its slot.
     """
-    slot = slot_of(submission)
+    slot = compute_slot(submission)
     later, earlier = "", ""
     for one in holdings:
         if one.service != service or not one.first <= slot <= one.last:
             continue
-        if one.until_ms and born_ms >= one.until_ms:
-            later = one.to
-        elif born_ms < one.since_ms:
-            earlier = earlier or one.source
+        if one.until_ms and created_ms >= one.until_ms:
+            later = one.ceded_to
+        elif created_ms < one.since_ms:
+            earlier = earlier or one.ceded_by
     return later or earlier
--- a/src/cactuswalk/model/identifier.py
+++ b/src/cactuswalk/model/identifier.py
@@ -1,17 +1,22 @@
-"""Identifiers: minted ones carry their birth, and digests bind bodies to them."""
+"""Submission identifiers, which contain their creation time, and digests."""
 
 import hashlib
 import random
 import uuid
 
-__all__ = ["birth_ms", "digest", "mint", "submission_name"]
+__all__ = [
+    "read_creation_ms",
+    "compute_digest",
+    "generate_identifier",
+    "format_submission_name",
+]
 
-# Sixteen bytes keep accidental collisions out of reach (2**-64 at 2**32 ids).
+# 16 bytes give a collision probability of about 2**-64 among 2**32 identifiers.
 DIGEST_BYTES = 16
 
 
-def mint(now_ms: int, generator: random.Random) -> str:
-    """Return a UUID version 7 (RFC 9562) that was born at ``now_ms``.
+def generate_identifier(now_ms: int, generator: random.Random) -> str:
+    """Return a UUID version 7 (RFC 9562) with the creation time ``now_ms``.
 
     :param now_ms: wall clock in milliseconds since the Unix epoch.
     :param generator: source of the random bits.
@@ -23,8 +28,8 @@
     return str(uuid.UUID(int=value))
 
 
-def birth_ms(identifier: str) -> int | None:
-    """Return the birth time in an identifier, None if it carries none."""
+def read_creation_ms(identifier: str) -> int | None:
+    """Return the creation time in an identifier, None if it contains none."""
     try:
         value = uuid.UUID(identifier)
     except ValueError:
@@ -34,13 +39,13 @@
     return value.int >> 80
 
 
-def submission_name(team: str, key: str) -> str:
-    """Return the name of a submission: teams can't meet in one key."""
+def format_submission_name(team: str, key: str) -> str:
+    """Return the name of a submission, in which equal keys of teams stay distinct."""
     return f"{team}/{key}"
 
 
-def digest(*parts: bytes) -> bytes:
-    """Return a digest of some byte strings, their borders included."""
+def compute_digest(*parts: bytes) -> bytes:
+    """Return a digest of byte strings that also depends on where each one ends."""
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         state.update(len(part).to_bytes(8, "big"))
--- a/src/cactuswalk/model/job.py
+++ b/src/cactuswalk/model/job.py
@@ -1,17 +1,17 @@
-"""Jobs and their tasks, as an entry has checked and admitted them."""
+"""Jobs and their tasks, as validated and admitted by an entry."""
 
 import msgspec
 
-__all__ = ["MAXIMUM_TASKS", "Job", "TaskSpec"]
+__all__ = ["MAX_TASKS", "Job", "TaskSpec"]
 
-# The brief's target: jobs of up to 140 tasks.
-MAXIMUM_TASKS = 140
+# The target load contains jobs of up to 140 tasks.
+MAX_TASKS = 140
 
 
 class TaskSpec(msgspec.Struct, array_like=True, gc=False):
-    """One task: what the upstream gets, and what the caller declares of it.
+    """One task: the body sent to the upstream, and the resources the caller declares.
 
-    :param duration_ms: declared run time; often far from the truth.
+    :param duration_ms: declared run time; often far from the actual one.
     :param memory_mb: declared memory; 0 for undeclared.
     """
 
@@ -22,17 +22,17 @@
 
 
 class Job(msgspec.Struct, array_like=True, gc=False):
-    """A submission: one or more tasks that are answered together or failed.
+    """A submission: one or more tasks that are answered or fail as a whole.
 
     A single request is a job of one task with ``request`` set; only such a
     request can be declared idempotent.
 
-    :param submission: team and key, see ``submission_name``.
+    :param submission: team and key, see ``format_submission_name``.
     :param fingerprint: digest of all that a resubmission must repeat.
-    :param selector: which workers may run it, in the selector grammar.
-    :param key: specialised key (a depot, a kennel) that prefers a worker which
-        has served it before; empty for none.
-    :param born_ms: wall clock of its first submission, from its identifier.
+    :param selector: selects the workers that may run it.
+    :param key: specialised key (such as a depot or a kennel) that prefers a worker
+        that has served it before; empty for none.
+    :param created_ms: creation time of its identifier, wall clock in milliseconds.
     """
 
     submission: str
@@ -45,4 +45,4 @@
     key: str = ""
     idempotent: bool = False
     request: bool = False
-    born_ms: int = 0
+    created_ms: int = 0
--- a/src/cactuswalk/model/worker.py
+++ b/src/cactuswalk/model/worker.py
@@ -1,4 +1,4 @@
-"""Workers, as the agent beside each announces them."""
+"""Workers, as announced by the agent on the same host."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Capacity(msgspec.Struct, array_like=True):
-    """What an upstream on a worker can hold at one time."""
+    """Resources of an upstream, and the limits of its concurrent use."""
 
     slots: int
     connections: int = 64
@@ -15,10 +15,10 @@
 
 
 class Announcement(msgspec.Struct, array_like=True):
-    """An upstream's account of itself, renewed while it lives.
+    """An upstream's description of itself, renewed while it runs.
 
-    :param serial: grows with each change, so that an older one is recognised.
-    :param ready: False while the upstream is away or leaving.
+    :param serial: grows with each change, so that older ones can be recognised.
+    :param ready: False while the upstream is unavailable or stopping.
     """
 
     worker: str
--- a/src/cactuswalk/runtime/operators.py
+++ b/src/cactuswalk/runtime/operators.py
@@ -9,7 +9,7 @@
 from cactuswalk.messages import ConfigurationUpdate
 from cactuswalk.model import Job, TaskSpec
 from cactuswalk.model.configuration import JobTemplate
-from cactuswalk.model.holding import SLOT_COUNT, open_slots
+from cactuswalk.model.holding import SLOT_COUNT, count_open_slots
 from cactuswalk.observations import Log, Part
 from cactuswalk.runtime.application import Application
 from cactuswalk.state.configuration import InForce, add_up
@@ -140,7 +140,7 @@
     """Format the share of each service's slots that a cell holds for new keys."""
     services = sorted({holding.service for holding in view.holdings})
     shares = [
-        f"{open_slots(view.holdings, service)}/{SLOT_COUNT} of {service}"
+        f"{count_open_slots(view.holdings, service)}/{SLOT_COUNT} of {service}"
         for service in services
     ]
     return ", ".join(shares) or "nothing"
--- a/src/cactuswalk/state/agent.py
+++ b/src/cactuswalk/state/agent.py
@@ -11,9 +11,9 @@
 
 from cactuswalk.messages import (
     Declined,
-    Heard,
-    HeardReply,
     Join,
+    LastContactReply,
+    LastContactRequest,
     Message,
     Ping,
     Pong,
@@ -29,7 +29,7 @@
     TaskOutcome,
     TaskResult,
     TaskState,
-    digest,
+    compute_digest,
 )
 from cactuswalk.state.configuration import Spread
 from cactuswalk.state.effects import (
@@ -275,12 +275,14 @@
     _tell_owner(state, record, record.result, 0)
 
 
-def on_heard(state: AgentState, sender: str, heard: Heard, now: float) -> None:
+def on_heard(
+    state: AgentState, sender: str, heard: LastContactRequest, now: float
+) -> None:
     """A member misses the owner: say how long it has been silent here."""
     known = heard.epoch >= state.gate.epoch
     silent = now - state.heard_at if known else 0.0
     silent_ms = int(min(silent * 1000, 2**31))
-    reply = HeardReply(state.cell, state.gate.epoch, state.gate.member, silent_ms)
+    reply = LastContactReply(state.cell, state.gate.epoch, state.gate.member, silent_ms)
     state.effects.append(Send(sender, reply))
 
 
@@ -326,7 +328,11 @@
         reason = f"the upstream answered with status {event.status}"
         return TaskResult(event.index, TaskOutcome.FAILED, event.status, reason=reason)
     return TaskResult(
-        event.index, TaskOutcome.DONE, event.status, event.body, digest(event.body)
+        event.index,
+        TaskOutcome.DONE,
+        event.status,
+        event.body,
+        compute_digest(event.body),
     )
 
 
--- a/src/cactuswalk/state/candidate.py
+++ b/src/cactuswalk/state/candidate.py
@@ -10,7 +10,13 @@
 import msgspec
 
 from cactuswalk.errors import InvariantError
-from cactuswalk.messages import HandOver, Heard, HeardReply, Join, NotOwner
+from cactuswalk.messages import (
+    HandOver,
+    Join,
+    LastContactReply,
+    LastContactRequest,
+    NotOwner,
+)
 from cactuswalk.model import CellRecord, Member
 from cactuswalk.state.agent import AgentState
 from cactuswalk.state.effects import Effect, Log, Part, ReadKey, Send, SwapKey
@@ -183,11 +189,13 @@
     state.wanted_epoch = 0
     for member in roster:
         if member.worker != state.member.worker:
-            state.effects.append(Send(member.address, Heard(state.cell, epoch)))
+            state.effects.append(
+                Send(member.address, LastContactRequest(state.cell, epoch))
+            )
     _take_if_confirmed(state, now)
 
 
-def on_heard_reply(state: CandidateState, reply: HeardReply, now: float) -> None:
+def on_heard_reply(state: CandidateState, reply: LastContactReply, now: float) -> None:
     """Another member says how long it has missed the owner."""
     if now - state.asked_at > state.timing.confirm:
         return
--- a/src/cactuswalk/state/cellviews.py
+++ b/src/cactuswalk/state/cellviews.py
@@ -3,11 +3,11 @@
 import msgspec
 
 from cactuswalk.messages import (
-    Ceded,
+    CededSlots,
     CellReport,
     ConfigurationOffer,
     ConfigurationUpdate,
-    Heard,
+    LastContactRequest,
     NotOwner,
 )
 from cactuswalk.model import (
@@ -59,7 +59,7 @@
     view.owner, view.epoch = sender, report.epoch
     hear(view, report.stamp, now)
     view.report = report
-    view.takes_keys_at = now + report.young_ms / 1000
+    view.takes_keys_at = now + report.refuses_keys_ms / 1000
     if report.workers is not None:
         view.workers, view.serial = report.workers, report.serial
     view.services |= set(report.free_slots)
@@ -100,7 +100,9 @@
         pending.sent_epoch = min(pending.sent_epoch, message.epoch - 1)
 
 
-def on_heard(state: EntryState, sender: str, heard: Heard, now: float) -> None:
+def on_heard(
+    state: EntryState, sender: str, heard: LastContactRequest, now: float
+) -> None:
     """An agent that finds no record of its cell asks who owned it.
 
     An owner that is silent is not named: the agent would ask it for a place for
@@ -141,11 +143,11 @@
     They find out by themselves too, but look at one cell a minute only.
     """
     life = f"{record.cell}/{record.identity}"
-    for heir in sorted({one.to for one in record.holdings if one.serial}):
+    for heir in sorted({one.ceded_to for one in record.holdings if one.serial}):
         view = state.cells.get(heir)
         if view is not None and view.owner:
-            left = [one for one in record.holdings if one.to == heir]
-            state.effects.append(Send(view.owner, Ceded(record.cell, life, left)))
+            left = [one for one in record.holdings if one.ceded_to == heir]
+            state.effects.append(Send(view.owner, CededSlots(record.cell, life, left)))
 
 
 def keep_view(state: EntryState, view: CellView, busy: bool, now: float) -> None:
--- a/src/cactuswalk/state/configuration.py
+++ b/src/cactuswalk/state/configuration.py
@@ -17,8 +17,8 @@
     ConfigurationUpdate,
     StoredObject,
 )
-from cactuswalk.messages.configuration import NodesHolding
-from cactuswalk.model import Announcement, matches, parse, worker_labels
+from cactuswalk.messages.configuration import NodeStateCount
+from cactuswalk.model import Announcement, matches, parse_selector, worker_labels
 from cactuswalk.model.configuration import (
     OperatorObject,
     Service,
@@ -293,7 +293,7 @@
     return change <= revision or change in ahead
 
 
-def fold(states: Iterable[tuple[int, Iterable[int]]]) -> list[NodesHolding]:
+def fold(states: Iterable[tuple[int, Iterable[int]]]) -> list[NodeStateCount]:
     """Count the nodes of a cell by what they hold.
 
     An owner folds its own state and its agents' last pongs; the result stays
@@ -306,12 +306,12 @@
         state = (revision, tuple(sorted(ahead)))
         counts[state] = counts.get(state, 0) + 1
     return [
-        NodesHolding(revision, list(ahead), nodes)
+        NodeStateCount(revision, list(ahead), nodes)
         for (revision, ahead), nodes in sorted(counts.items())
     ]
 
 
-def add_up(revision: int, cells: Iterable[list[NodesHolding]]) -> InForce:
+def add_up(revision: int, cells: Iterable[list[NodeStateCount]]) -> InForce:
     """Add up over cells on how many nodes a revision is in force."""
     nodes = in_force = 0
     lowest: int | None = None
@@ -349,7 +349,7 @@
     labels = merge_labels(announcement.labels, entry)
     merged = msgspec.structs.replace(announcement, labels=labels)
     selector = service.selector if isinstance(service, Service) else ""
-    may_serve = matches(parse(selector), worker_labels(merged))
+    may_serve = matches(parse_selector(selector), worker_labels(merged))
     reason = ""
     if drained:
         reason = f"{announcement.worker} is drained"
--- a/src/cactuswalk/state/copying.py
+++ b/src/cactuswalk/state/copying.py
@@ -3,11 +3,11 @@
 import math
 
 from cactuswalk.messages import (
-    Adopt,
-    Adopted,
     Fence,
     Fenced,
     Record,
+    RecordsReplicated,
+    ReplicateRecords,
     Witness,
     Witnessed,
 )
@@ -90,14 +90,16 @@
     state.effects.append(Send(sender, seen))
 
 
-def on_adopt(state: AgentState, sender: str, adopt: Adopt, now: float) -> None:
+def on_adopt(
+    state: AgentState, sender: str, adopt: ReplicateRecords, now: float
+) -> None:
     """Keep copies of another agent's records."""
     if adopt.epoch < state.gate.epoch:
         state.effects.append(Count("agent.adopt.refused"))
         return
     for record in adopt.records:
         _keep_copy(state, record, now)
-    adopted = Adopted(state.cell, state.gate.member.incarnation, adopt.token)
+    adopted = RecordsReplicated(state.cell, state.gate.member.incarnation, adopt.token)
     state.effects.append(Send(sender, adopted))
 
 
--- a/src/cactuswalk/state/effects.py
+++ b/src/cactuswalk/state/effects.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from cactuswalk.decisions.guard import GuardAction
-from cactuswalk.messages import Explained, JobState, Message
+from cactuswalk.messages import Explanation, JobState, Message
 from cactuswalk.model import Outcome, Refusal, TaskResult, TaskSpec
 from cactuswalk.observations import Count, Gauge, Log, Part
 
@@ -85,7 +85,7 @@
     """Tell an operator where a job could be placed, by cell."""
 
     request: str
-    cells: list[Explained]
+    cells: list[Explanation]
 
 
 class ReadKey(msgspec.Struct):
--- a/src/cactuswalk/state/entryview.py
+++ b/src/cactuswalk/state/entryview.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from cactuswalk.messages import CellReport, Explained
-from cactuswalk.messages.configuration import NodesHolding
+from cactuswalk.messages import CellReport, Explanation
+from cactuswalk.messages.configuration import NodeStateCount
 from cactuswalk.model import (
     Announcement,
     Holding,
@@ -132,7 +132,7 @@
 
     until: float
     owners: int
-    cells: list[Explained] = []
+    cells: list[Explanation] = []
 
 
 class EntryState(msgspec.Struct):
@@ -160,7 +160,7 @@
     questioned: dict[str, Questioned] = {}
     attempt: int = 0
     stopping: bool = False
-    held: dict[str, list[NodesHolding]] = {}
+    held: dict[str, list[NodeStateCount]] = {}
     offered_at: float = float("-inf")
     effects: list[Effect] = []
 
@@ -190,7 +190,7 @@
 
 def age_ms(state: EntryState, job: Job, now: float) -> float:
     """Return how long ago a submission's key was born, by this wall clock."""
-    return now * 1000 + state.wall_ms - job.born_ms
+    return now * 1000 + state.wall_ms - job.created_ms
 
 
 def give_up(
--- a/src/cactuswalk/state/flights.py
+++ b/src/cactuswalk/state/flights.py
@@ -36,7 +36,7 @@
             message.result.outcome is TaskOutcome.DONE,
             message.elapsed_ms,
             now,
-            message.result.guarded,
+            message.result.is_stopped_by_guard,
         )
     _note_recovered(state, message, now)
     tracked = state.ledger.get(message.submission)
--- a/src/cactuswalk/state/founding.py
+++ b/src/cactuswalk/state/founding.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cactuswalk.messages import Heard, NotOwner
+from cactuswalk.messages import LastContactRequest, NotOwner
 from cactuswalk.model import CellRecord, Member
 from cactuswalk.state.effects import Effect, Send
 
@@ -55,7 +55,7 @@
 
 def ask_entries(cell: str, entries: list[str]) -> list[Effect]:
     """Return the question who owned the cell, to each entry."""
-    return [Send(address, Heard(cell, 0)) for address in entries]
+    return [Send(address, LastContactRequest(cell, 0)) for address in entries]
 
 
 def first_record(cell: str, epoch: int, member: Member, write_id: str) -> CellRecord:
--- a/src/cactuswalk/state/inquiries.py
+++ b/src/cactuswalk/state/inquiries.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from cactuswalk.messages import Explain, Explained, JobState, Query, Verdict
+from cactuswalk.messages import Explain, Explanation, JobState, Query, Verdict
 from cactuswalk.model import Job, Outcome, TaskState
 from cactuswalk.state.answers import find
 from cactuswalk.state.ledger import (
@@ -32,7 +32,7 @@
     """Say where a job could be placed now."""
     found = state.scheduler.explain(explain.job, now)
     verdicts = [Verdict(one.worker, one.fits, one.verdict) for one in found]
-    state.send(sender, Explained(explain.request, state.cell, verdicts))
+    state.send(sender, Explanation(explain.request, state.cell, verdicts))
 
 
 def job_state(state: OwnerState, query: Query, sender: str) -> JobState:
--- a/src/cactuswalk/state/ledger.py
+++ b/src/cactuswalk/state/ledger.py
@@ -13,7 +13,7 @@
     RefusalCode,
     TaskOutcome,
     TaskResult,
-    digest,
+    compute_digest,
 )
 
 __all__ = [
@@ -179,7 +179,7 @@
         outcome,
         results,
         None if outcome is Outcome.ANSWERED else refusal,
-        digest(tracked.job.fingerprint, *parts),
+        compute_digest(tracked.job.fingerprint, *parts),
     )
 
 
--- a/src/cactuswalk/state/moving.py
+++ b/src/cactuswalk/state/moving.py
@@ -5,8 +5,13 @@
 """
 
 from cactuswalk.messages import NotHeld
-from cactuswalk.model import Job, digest, mint, submission_name
-from cactuswalk.model.holding import covers
+from cactuswalk.model import (
+    Job,
+    compute_digest,
+    format_submission_name,
+    generate_identifier,
+)
+from cactuswalk.model.holding import holds_submission
 from cactuswalk.state.effects import Count, ReadKey
 from cactuswalk.state.entryview import (
     CellView,
@@ -49,12 +54,12 @@
     if not fit:
         return None
     for view in views:
-        if covers(view.holdings, job.service, job.submission, job.born_ms):
+        if holds_submission(view.holdings, job.service, job.submission, job.created_ms):
             return view
     # A retired cell answers nothing; its heirs know what they were left.
     fit = [view for view in fit if not view.retired] or fit
     name = job.submission.encode()
-    return max(fit, key=lambda view: digest(name, view.cell.encode()))
+    return max(fit, key=lambda view: compute_digest(name, view.cell.encode()))
 
 
 def mint_well(state: EntryState, job: Job, now: float) -> None:
@@ -69,7 +74,9 @@
     for _ in range(MINT_TRIES):
         if best_worth == WELL:
             break
-        job.submission = submission_name(team, mint(job.born_ms, state.generator))
+        job.submission = format_submission_name(
+            team, generate_identifier(job.created_ms, state.generator)
+        )
         worth = _worth(state, job, now)
         if worth > best_worth:
             best, best_worth = job.submission, worth
--- a/src/cactuswalk/state/node.py
+++ b/src/cactuswalk/state/node.py
@@ -5,11 +5,8 @@
 
 from cactuswalk.errors import InvariantError
 from cactuswalk.messages import (
-    Adopt,
-    Adopted,
-    AskShare,
     Cancel,
-    Ceded,
+    CededSlots,
     ConfigurationOffer,
     ConfigurationRequest,
     ConfigurationUpdate,
@@ -18,18 +15,21 @@
     Fence,
     Fenced,
     HandOver,
-    Heard,
-    HeardReply,
     Join,
+    LastContactReply,
+    LastContactRequest,
     Leave,
     NotOwner,
     Ping,
     Pong,
     Probe,
     Query,
+    RecordsReplicated,
+    ReplicateRecords,
     Result,
     Running,
-    Spare,
+    SlotOffer,
+    SlotRequest,
     Start,
     Submit,
     Subscribe,
@@ -78,8 +78,8 @@
     Probe: agents.on_probe,
     Fence: copying.on_fence,
     Witness: copying.on_witness,
-    Adopt: copying.on_adopt,
-    Heard: agents.on_heard,
+    ReplicateRecords: copying.on_adopt,
+    LastContactRequest: agents.on_heard,
 }
 _TO_OWNER: dict[type, Callable] = {
     Pong: peers.on_pong,
@@ -93,24 +93,24 @@
     Running: flights.on_running,
     Witnessed: placing.on_witnessed,
     Fenced: recovery.on_fenced,
-    Adopted: roster.on_adopted,
+    RecordsReplicated: roster.on_adopted,
     Join: roster.on_join,
     Leave: roster.on_leave,
-    AskShare: sharing.on_ask_share,
-    Ceded: sharing.on_ceded,
-    Spare: sharing.on_spare,
+    SlotRequest: sharing.on_ask_share,
+    CededSlots: sharing.on_ceded,
+    SlotOffer: sharing.on_spare,
 }
 _TO_CANDIDATE: dict[type, Callable] = {
-    HeardReply: candidates.on_heard_reply,
+    LastContactReply: candidates.on_heard_reply,
     NotOwner: candidates.on_not_owner,
     HandOver: candidates.on_hand_over,
 }
 # What passes within a cell; the others name the cell that they are about.
 _WITHIN_CELL = frozenset(
     kind
-    for kind in (*_TO_AGENT, *_TO_OWNER, HeardReply, HandOver)
+    for kind in (*_TO_AGENT, *_TO_OWNER, LastContactReply, HandOver)
     if "cell" in kind.__struct_fields__
-) - {AskShare, Ceded, Spare, Subscribe}
+) - {SlotRequest, CededSlots, SlotOffer, Subscribe}
 
 
 def handle(node: Node, event: Event, now: float) -> list[Effect]:
--- a/src/cactuswalk/state/owner.py
+++ b/src/cactuswalk/state/owner.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from cactuswalk.decisions.scheduler import Scheduler
-from cactuswalk.messages import Ceded, Message, Record, Submit
-from cactuswalk.messages.configuration import NodesHolding
+from cactuswalk.messages import CededSlots, Message, Record, Submit
+from cactuswalk.messages.configuration import NodeStateCount
 from cactuswalk.model import Announcement, CellRecord, Member
 from cactuswalk.state.agent import AgentState
 from cactuswalk.state.answered import Answered
@@ -98,7 +98,7 @@
 
     subscribed_at: float
     serial: int = -1
-    held: list[NodesHolding] = []
+    held: list[NodeStateCount] = []
     told_at: float = float("-inf")
 
 
@@ -144,7 +144,7 @@
     wait: dict[str, float] = {}
     fitted: dict[str, Fitted] = {}
     founding: set[str] = set()
-    taking: Ceded | None = None
+    taking: CededSlots | None = None
     cession: Cession | None = None
     taken_by: dict[str, int] = {}
     push_at: float = float("-inf")
--- a/src/cactuswalk/state/questions.py
+++ b/src/cactuswalk/state/questions.py
@@ -1,6 +1,6 @@
 """Questions at an entry that owners answer: where jobs stand, where they fit."""
 
-from cactuswalk.messages import Explain, Explained, JobState, Query
+from cactuswalk.messages import Explain, Explanation, JobState, Query
 from cactuswalk.state.effects import ReplyExplanation, ReplyState, Send
 from cactuswalk.state.entryview import Asked, EntryState, Questioned
 from cactuswalk.state.events import CallerAsked, OperatorAsked
@@ -58,7 +58,7 @@
 
 
 def on_explained(
-    state: EntryState, sender: str, message: Explained, now: float
+    state: EntryState, sender: str, message: Explanation, now: float
 ) -> None:
     """Gather the owners' words; the last one completes the answer."""
     asked = state.questioned.get(message.request)
--- a/src/cactuswalk/state/roster.py
+++ b/src/cactuswalk/state/roster.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cactuswalk.messages import Adopt, Adopted, Join, Leave, Record
+from cactuswalk.messages import Join, Leave, Record, RecordsReplicated, ReplicateRecords
 from cactuswalk.model import (
     Announcement,
     CellRecord,
@@ -325,7 +325,7 @@
     for first in range(0, max(len(records), 1), RECORDS_A_PART):
         token = f"{state.backup_serial}.{first}"
         state.backup_tokens.add(token)
-        adopt = Adopt(
+        adopt = ReplicateRecords(
             state.cell,
             state.record.epoch,
             token,
@@ -368,7 +368,9 @@
     return TaskState.DONE if done else TaskState.FAILED
 
 
-def on_adopted(state: OwnerState, sender: str, adopted: Adopted, now: float) -> None:
+def on_adopted(
+    state: OwnerState, sender: str, adopted: RecordsReplicated, now: float
+) -> None:
     """The backup holds one more part of the copies."""
     if state.backup is None or adopted.incarnation != state.backup.incarnation:
         return
--- a/src/cactuswalk/state/sharing.py
+++ b/src/cactuswalk/state/sharing.py
@@ -8,16 +8,16 @@
 import msgspec
 
 from cactuswalk.decisions import sharing
-from cactuswalk.messages import AskShare, Ceded, NotHeld, Spare, Submit
-from cactuswalk.model import CellRecord, Job, ServiceRecord, birth_ms
+from cactuswalk.messages import CededSlots, NotHeld, SlotOffer, SlotRequest, Submit
+from cactuswalk.model import CellRecord, Job, ServiceRecord, read_creation_ms
 from cactuswalk.model.cell import cell_key
 from cactuswalk.model.holding import (
     SLOT_COUNT,
     Holding,
-    covers,
-    open_slots,
+    count_open_slots,
+    find_next_holder,
+    holds_submission,
     service_key,
-    successor,
 )
 from cactuswalk.state.effects import ReadKey, SwapKey
 from cactuswalk.state.events import KeyRead, KeySwapped, SwapOutcome
@@ -54,7 +54,7 @@
 def holds(state: OwnerState, job: Job, now: float) -> bool:
     """Tell whether a submission falls to this cell, whatever becomes of a swap."""
     return all(
-        covers(record.holdings, job.service, job.submission, job.born_ms)
+        holds_submission(record.holdings, job.service, job.submission, job.created_ms)
         for record in (state.record, _without_ceded(state, now))
     )
 
@@ -72,7 +72,9 @@
     """Send a submission to the cell that may hold it; nothing of it ran here."""
     job = submit.job
     record = _without_ceded(state, now)
-    cell = successor(record.holdings, job.service, job.submission, job.born_ms)
+    cell = find_next_holder(
+        record.holdings, job.service, job.submission, job.created_ms
+    )
     if not cell:
         partners = state.sharing.partners.get(job.service, [])
         cell = partners[0] if partners else ""
@@ -132,7 +134,7 @@
 
 def _is_badly_off(state: OwnerState, service: str) -> bool:
     """Tell whether the cell has workers without slots, or slots without workers."""
-    holds_some = open_slots(state.record.holdings, service) > 0
+    holds_some = count_open_slots(state.record.holdings, service) > 0
     return holds_some != (service in state.sharing.workers)
 
 
@@ -144,7 +146,7 @@
     # Whole cells start at one moment; spread, they don't all call at once.
     state.sharing.next_at[service] = now + wait * state.generator.uniform(0.75, 1.25)
     state.sharing.wait[service] = min(2 * wait, MAXIMUM_WAIT)
-    holds_all = open_slots(state.record.holdings, service) == SLOT_COUNT
+    holds_all = count_open_slots(state.record.holdings, service) == SLOT_COUNT
     if holds_all and service in state.sharing.workers:
         # There is nothing to ask for; a cell that lacks something asks here.
         return
@@ -204,38 +206,38 @@
     for service, cells in state.sharing.partners.items():
         if record.cell not in cells:
             continue
-        mine = open_slots(state.record.holdings, service)
+        mine = count_open_slots(state.record.holdings, service)
         workers = state.sharing.workers.get(service, 0)
-        if workers and open_slots(record.holdings, service):
-            state.send(address, AskShare(state.cell, service, mine, workers))
+        if workers and count_open_slots(record.holdings, service):
+            state.send(address, SlotRequest(state.cell, service, mine, workers))
         elif not workers and mine:
-            state.send(address, Spare(state.cell, service))
+            state.send(address, SlotOffer(state.cell, service))
 
 
-def on_spare(state: OwnerState, sender: str, spare: Spare, now: float) -> None:
+def on_spare(state: OwnerState, sender: str, spare: SlotOffer, now: float) -> None:
     """A cell without workers of a service wants to be asked for its share."""
     workers = state.sharing.workers.get(spare.service, 0)
     if state.phase is Phase.SERVING and workers:
-        mine = open_slots(state.record.holdings, spare.service)
-        state.send(sender, AskShare(state.cell, spare.service, mine, workers))
+        mine = count_open_slots(state.record.holdings, spare.service)
+        state.send(sender, SlotRequest(state.cell, spare.service, mine, workers))
 
 
-def on_ask_share(state: OwnerState, sender: str, ask: AskShare, now: float) -> None:
+def on_ask_share(state: OwnerState, sender: str, ask: SlotRequest, now: float) -> None:
     """Another cell wants some of the slots held here."""
     busy = state.pending is not None or state.handing_over or state.deposed
     if state.phase is not Phase.SERVING or busy or ask.cell == state.cell:
         return
     holdings = state.record.holdings
-    mine = open_slots(holdings, ask.service)
+    mine = count_open_slots(holdings, ask.service)
     workers = state.sharing.workers.get(ask.service, 0)
     # What the asking cell has been given and has not taken yet counts as its own.
-    theirs = ask.held + sum(
+    theirs = ask.open_slots + sum(
         one.last - one.first + 1
         for one in _ceded(state)
-        if one.to == ask.cell and one.service == ask.service
+        if one.ceded_to == ask.cell and one.service == ask.service
         if not _is_taken(state, one)
     )
-    count = sharing.slots_to_cede(mine, workers, theirs, ask.workers)
+    count = sharing.slots_to_cede(mine, workers, theirs, ask.worker_slots)
     if count <= 0:
         return
     ahead = state.timing.clock_margin + state.timing.entry_margin + CESSION_SLACK
@@ -253,7 +255,7 @@
 def _latest_birth_ms(state: OwnerState) -> int:
     """Return the latest birth of a key that is known here."""
     names = {record.submission for record in state.recovered.all()}
-    births = [birth_ms(name.rpartition("/")[2]) or 0 for name in names]
+    births = [read_creation_ms(name.rpartition("/")[2]) or 0 for name in names]
     return max([state.sharing.latest_birth_ms, *births])
 
 
@@ -261,7 +263,7 @@
     """See to it that ceded slots are taken; until then nobody holds them."""
     if now < state.sharing.push_at:
         return
-    waiting = {one.to for one in _ceded(state) if not _is_taken(state, one)}
+    waiting = {one.ceded_to for one in _ceded(state) if not _is_taken(state, one)}
     if waiting:
         state.sharing.push_at = now + ASK_AFTER
         state.effects += [ReadKey(cell_key(cell)) for cell in sorted(waiting)]
@@ -272,7 +274,7 @@
 
 
 def _is_taken(state: OwnerState, one: Holding) -> bool:
-    return one.serial <= state.sharing.taken_by.get(one.to, 0)
+    return one.serial <= state.sharing.taken_by.get(one.ceded_to, 0)
 
 
 def _hand_ceded(state: OwnerState, record: CellRecord) -> None:
@@ -282,10 +284,10 @@
     ceded = [
         one
         for one in _ceded(state)
-        if one.to == record.cell and not _is_taken(state, one)
+        if one.ceded_to == record.cell and not _is_taken(state, one)
     ]
     if ceded:
-        message = Ceded(state.cell, life, ceded)
+        message = CededSlots(state.cell, life, ceded)
         state.send(record.owner.address, message)
 
 
@@ -293,16 +295,16 @@
     """Take what another cell's record cedes to this one; its owner may be gone."""
     life = f"{record.cell}/{record.identity}"
     after = state.record.taken.get(life, 0)
-    ceded = [one for one in record.holdings if one.to == state.cell]
+    ceded = [one for one in record.holdings if one.ceded_to == state.cell]
     if state.pending is None and any(one.serial > after for one in ceded):
-        state.sharing.taking = Ceded(record.cell, life, ceded)
+        state.sharing.taking = CededSlots(record.cell, life, ceded)
 
 
-def on_ceded(state: OwnerState, sender: str, ceded: Ceded, now: float) -> None:
+def on_ceded(state: OwnerState, sender: str, ceded: CededSlots, now: float) -> None:
     """Slots were ceded to this cell; the giver's record says so already."""
     if state.phase is not Phase.SERVING or state.pending is not None:
         return
-    if any(one.to != state.cell for one in ceded.holdings):
+    if any(one.ceded_to != state.cell for one in ceded.holdings):
         return
     state.sharing.taking = ceded
 
@@ -316,7 +318,7 @@
         founded.append(service)
         holdings = [*holdings, Holding(service, 0, SLOT_COUNT - 1, 0)]
     if plans.taking is not None:
-        life, ceded = plans.taking.life, plans.taking.holdings
+        life, ceded = plans.taking.cell_identity, plans.taking.holdings
         after = taken.get(life, 0)
         holdings = sharing.take(holdings, plans.taking.cell, ceded, after)
         taken[life] = max([after, *(one.serial for one in ceded)])
--- a/src/cactuswalk/state/submissions.py
+++ b/src/cactuswalk/state/submissions.py
@@ -95,7 +95,7 @@
     if not holds(state, job, now):
         refuse_unheld(state, held.sender, submit, now)
         return
-    state.sharing.latest_birth_ms = max(state.sharing.latest_birth_ms, job.born_ms)
+    state.sharing.latest_birth_ms = max(state.sharing.latest_birth_ms, job.created_ms)
     if tracked is None and _is_too_old(state, submit, now):
         refuse(state, held.sender, submit, TOO_OLD, Outcome.UNKNOWN, now)
         return
--- a/src/cactuswalk/state/waiting.py
+++ b/src/cactuswalk/state/waiting.py
@@ -11,7 +11,7 @@
     Outcome,
     Refusal,
     RefusalCode,
-    digest,
+    compute_digest,
 )
 from cactuswalk.state.effects import (
     Count,
@@ -97,14 +97,14 @@
     if answer.outcome is not Outcome.ANSWERED:
         return True
     bodies_match = all(
-        digest(result.body) == result.digest for result in answer.results
+        compute_digest(result.body) == result.digest for result in answer.results
     )
     indexes = [result.index for result in answer.results]
     parts = [result.digest for result in answer.results]
     return (
         bodies_match
         and indexes == list(range(len(pending.job.tasks)))
-        and answer.digest == digest(answer.fingerprint, *parts)
+        and answer.digest == compute_digest(answer.fingerprint, *parts)
     )
 
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -12,7 +12,7 @@
 
 import click
 
-from cactuswalk.model import submission_name
+from cactuswalk.model import format_submission_name
 from tools.cluster import Cluster, Worker
 from tools.load import Sent, kind_table, send_plan, show_progress
 from tools.workloads import GLENMORROW, LABUTA, Arrival, Kind, Plan, plan
@@ -81,7 +81,7 @@
 
 def faults_of_one(one: Sent, starts: dict[tuple[str, int], int]) -> list[str]:
     """Return what is wrong with one arrival."""
-    name = submission_name(one.arrival.kind.team, one.key)
+    name = format_submission_name(one.arrival.kind.team, one.key)
     tasks = range(len(one.arrival.durations_ms))
     started = [index for index in tasks if (name, index) in starts]
     found = [f"{name}: {one.fault}"] if one.fault else []
--- a/tools/latency.py
+++ b/tools/latency.py
@@ -16,7 +16,7 @@
 import click
 import psutil
 
-from cactuswalk.model import mint
+from cactuswalk.model import generate_identifier
 from tools.cluster import Cluster, Worker, token_of
 from tools.tables import ROOT, Histogram, replace_block, table
 
@@ -60,7 +60,9 @@
         headers = {
             "Authorization": f"Bearer {token_of(TEAM)}",
             "Content-Type": "application/json",
-            "Idempotency-Key": mint(int(time.time() * 1000), self.generator),
+            "Idempotency-Key": generate_identifier(
+                int(time.time() * 1000), self.generator
+            ),
         }
         return await self._post(self.path, headers)
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -19,7 +19,7 @@
 import click
 import msgspec
 
-from cactuswalk.model import mint
+from cactuswalk.model import generate_identifier
 from tools.cluster import token_of
 from tools.measures import Measures
 from tools.tables import table
@@ -75,7 +75,7 @@
 
         :param intended: on the monotonic clock.
         """
-        key = mint(int(time.time() * 1000), self.generator)
+        key = generate_identifier(int(time.time() * 1000), self.generator)
         works = [work_of(key, index) for index in range(len(arrival.durations_ms))]
         what = "jobs" if arrival.kind.job else "requests"
         address = f"{self.next_entry()}/v1/services/{arrival.kind.service}/{what}"
--- a/tools/mutants_cells.py
+++ b/tools/mutants_cells.py
@@ -82,7 +82,7 @@
     Mutant(
         "a cell without workers keeps its slots",
         SHARING,
-        "            state.send(address, Spare(state.cell, service))\n",
+        "            state.send(address, SlotOffer(state.cell, service))\n",
         "            pass\n",
         CELLS,
     ),
--- a/tools/slopes_cell.py
+++ b/tools/slopes_cell.py
@@ -4,7 +4,7 @@
 import sys
 
 from cactuswalk.messages import Record
-from cactuswalk.model import Outcome, TaskOutcome, TaskResult, TaskState, digest
+from cactuswalk.model import Outcome, TaskOutcome, TaskResult, TaskState, compute_digest
 from cactuswalk.state.answers import give_answer
 from cactuswalk.state.entryview import CellView, EntryState
 from cactuswalk.state.events import Tick
@@ -192,12 +192,12 @@
     """Return the record of an ended request, with a body of its own."""
     key = f"0193{number:032x}"
     body = ANSWER_BODY + str(number).encode()
-    result = TaskResult(0, TaskOutcome.DONE, 200, body, digest(body))
+    result = TaskResult(0, TaskOutcome.DONE, 200, body, compute_digest(body))
     named = {
         "submission": f"glenmorrow/{key}",
         "index": 0,
         "total": 1,
-        "fingerprint": digest(body),
+        "fingerprint": compute_digest(body),
         "attempt": number,
         "state": TaskState.DONE,
         "worker": "inverness-1",
@@ -242,7 +242,9 @@
             task.stage = Stage.SENT
             task.place = Place("worker-1", "life", index + 1000, index + 1000, bag.now)
             body = ANSWER_BODY + job.tasks[index].body
-            result = TaskResult(index, TaskOutcome.DONE, 200, body, digest(body))
+            result = TaskResult(
+                index, TaskOutcome.DONE, 200, body, compute_digest(body)
+            )
             end_task(tracked, result)
         give_answer(state, tracked, None, bag.now)
         state.effects.clear()
--- a/tools/slopes_entry.py
+++ b/tools/slopes_entry.py
@@ -11,7 +11,7 @@
     Subscribe,
     encode,
 )
-from cactuswalk.messages.configuration import NodesHolding
+from cactuswalk.messages.configuration import NodeStateCount
 from cactuswalk.model import (
     Announcement,
     Capacity,
@@ -19,8 +19,8 @@
     Job,
     Member,
     TaskSpec,
-    digest,
-    mint,
+    compute_digest,
+    generate_identifier,
 )
 from cactuswalk.state.effects import Send
 from cactuswalk.state.entry import EntryState, handle_entry, new_entry
@@ -91,7 +91,7 @@
 def report_of(number: int, now: float, workers: list[Announcement] | None) -> Received:
     """Return a report of a cell's owner."""
     address = owner_of(number).address
-    held = [NodesHolding(7, [], WORKERS_A_CELL)]
+    held = [NodeStateCount(7, [], WORKERS_A_CELL)]
     message = CellReport(
         f"cell-{number}",
         1,
@@ -150,9 +150,11 @@
     """Hand in a request for each caller."""
     generator = random.Random(2)
     for number in range(callers):
-        key = mint(WALL_MS, generator)
+        key = generate_identifier(WALL_MS, generator)
         body = f'{{"stop": {number}}}'.encode()
         name, team = f"glenmorrow/{key}", "glenmorrow"
-        job = Job(name, digest(body), SERVICE, team, [TaskSpec(body)], request=True)
-        job.born_ms = WALL_MS
+        job = Job(
+            name, compute_digest(body), SERVICE, team, [TaskSpec(body)], request=True
+        )
+        job.created_ms = WALL_MS
         handle_entry(state, CallerSubmitted(f"w{number}", job, True, 5000), 0.0)
