--- a/features/configuration_fakes.py
+++ b/features/configuration_fakes.py
@@ -13,7 +13,7 @@
     decode,
     encode,
 )
-from cactuswalk.state.configuration import Replica, Spread
+from cactuswalk.state.configuration import ConfigurationSync, Replica
 from cactuswalk.state.events import KeyRead, KeySwapped, SwapOutcome
 
 # A round is over after some hundred deliveries; nodes that answer one another
@@ -115,31 +115,31 @@
     def start(self):
         """Start anew, with nothing."""
         self.replica = self.make_replica()
-        self.spread = Spread(self.replica)
+        self.sync = ConfigurationSync(self.replica)
         self.shown = {}
 
     def take(self, sender, message, now):
         if isinstance(message, ConfigurationOffer):
-            return self.spread.offered(sender, message, now)
+            return self.sync.on_offer(sender, message, now)
         if isinstance(message, ConfigurationRequest):
-            return self.spread.requested(sender, message)
+            return self.sync.on_request(sender, message)
         return self.publish(message, sender, now)
 
     def publish(self, update, sender="", now=0.0):
         before = self.replica.revision
-        applied, sends = self.spread.updated(sender, update, now)
+        applied, sends = self.sync.on_update(sender, update, now)
         self.check_never_back()
         if self.replica.revision > before or applied.objects:
-            sends = sends + self.spread.offers(self.peers)
-            sends = sends + self.spread.updates(before, self.agents)
+            sends = sends + self.sync.make_offers(self.peers)
+            sends = sends + self.sync.make_updates(before, self.agents)
         return sends
 
     def tick(self, now):
-        return self.spread.tick(now)
+        return self.sync.tick(now)
 
     def tell(self):
         """Return what rides on pings and reports in every round."""
-        return self.spread.offers(self.peers + self.agents)
+        return self.sync.make_offers(self.peers + self.agents)
 
     def check_never_back(self):
         """Judge from outside: nothing that was seen here may go back."""
--- a/features/operators_server.py
+++ b/features/operators_server.py
@@ -8,7 +8,12 @@
 
 from cactuswalk.http.operators import OperatorsInterface, make_operators_application
 from cactuswalk.http.operators_store import ConfigurationKeys
-from cactuswalk.state.configuration import Replica, Spread, add_up, fold
+from cactuswalk.state.configuration import (
+    ConfigurationSync,
+    Replica,
+    count_by_state,
+    count_in_force,
+)
 from features.configuration_fakes import FakeService
 
 TOKEN = "token-of-ana"
@@ -21,7 +26,7 @@
     def __init__(self):
         self.service = FakeService()
         self.replica = Replica()
-        self.spread = Spread(self.replica)
+        self.sync = ConfigurationSync(self.replica)
         self.states = None
         self.logged = []
         self.explained = []
@@ -40,7 +45,7 @@
                 hashlib.sha256(token.encode()).hexdigest(): who
                 for token, who in ((TOKEN, "ana"), (OTHER_TOKEN, "ion"))
             },
-            publish=lambda update: self.spread.updated("", update, 0.0),
+            publish=lambda update: self.sync.on_update("", update, 0.0),
             status=lambda: {"entry": "e1", "configuration": self.replica.revision},
             explain=self.explain,
             in_force=self.in_force,
@@ -60,7 +65,7 @@
         states = self.states
         if states is None:
             states = [(self.replica.revision, self.replica.ahead)] * 3
-        return add_up(revision, [fold(states)])
+        return count_in_force(revision, [count_by_state(states)])
 
     def serve(self):
         asyncio.set_event_loop(self.loop)
--- a/features/steps/configuration_service_steps.py
+++ b/features/steps/configuration_service_steps.py
@@ -10,7 +10,7 @@
 from cactuswalk.http.operators_errors import ConflictError
 from cactuswalk.http.operators_store import ConfigurationKeys, follow_configuration
 from cactuswalk.model.configuration import WorkerEntry
-from cactuswalk.state.configuration import Replica, Spread
+from cactuswalk.state.configuration import ConfigurationSync, Replica
 from features.platform_world import memory_store
 from standins.keyvalue import KeyValueService
 from standins.keyvalue_virtual import VirtualLoop
@@ -23,7 +23,7 @@
         self.store = memory_store(service, name, seed)
         self.keys = ConfigurationKeys(self.store)
         self.replica = Replica()
-        self.spread = Spread(self.replica)
+        self.sync = ConfigurationSync(self.replica)
         self.changes = ChangeWriter(self.keys, self.replica, self.publish)
         self.published = asyncio.Event()
         self.following = asyncio.create_task(
@@ -31,7 +31,7 @@
         )
 
     def publish(self, update):
-        self.spread.updated("", update, 0.0)
+        self.sync.on_update("", update, 0.0)
         if update.objects:
             self.published.set()
 
--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -20,7 +20,7 @@
     StoredObject,
 )
 from cactuswalk.model.configuration import WorkerEntry
-from cactuswalk.state.configuration import Replica, add_up, fold
+from cactuswalk.state.configuration import Replica, count_by_state, count_in_force
 from features.configuration_fakes import Cluster, drive
 
 ACTIONS = (
@@ -389,14 +389,14 @@
     # Each has already asked somebody, whose answer is not there yet.
     for number, node in enumerate(nodes):
         other = 11 - number
-        assert node.spread.heard("agent0.0", 0, cluster.now, [other])
+        assert node.sync.request_if_behind("agent0.0", 0, cluster.now, [other])
     offers = [(names[1 - i], nodes[i].replica.offer()) for i in range(2)]
     context.exchanged = 0
     while offers and context.exchanged < 100:
         to, offer = offers.pop()
         context.exchanged += 1
         sender = names[1 - names.index(to)]
-        sends = cluster.nodes[to].spread.offered(sender, offer, cluster.now)
+        sends = cluster.nodes[to].sync.on_offer(sender, offer, cluster.now)
         offers += [
             (one.address, one.message)
             for one in sends
@@ -426,8 +426,8 @@
         states = [(one.replica.revision, one.replica.ahead) for one in nodes]
         if owner == "owner0":
             states[nodes.index(late)] = state
-        cells.append(fold(states))
-    context.in_force = add_up(context.second.revision, cells)
+        cells.append(count_by_state(states))
+    context.in_force = count_in_force(context.second.revision, cells)
 
 
 @then("the cells add up to one node fewer than all for the second change")
--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -15,8 +15,8 @@
     TaskSpec,
 )
 from cactuswalk.state import agent as agents
-from cactuswalk.state.configuration import Replica, Spread
-from cactuswalk.state.effects import Count, Send, SteerUpstream, StopUpstream
+from cactuswalk.state.configuration import ConfigurationSync, Replica
+from cactuswalk.state.effects import ControlUpstream, Count, Send, StopUpstream
 from cactuswalk.state.events import (
     Announced,
     TaskUsage,
@@ -24,7 +24,7 @@
     UpstreamOutcome,
     UsageReported,
 )
-from cactuswalk.state.gate import Gate, take_epoch
+from cactuswalk.state.gate import Gate, accept_epoch
 from cactuswalk.state.retention import RECORD_BYTES, RecordBook
 from features.edges_support import request
 from features.steps.once_gate_steps import OWNER, SELF, make_start
@@ -36,9 +36,9 @@
     copies = RecordBook(600.0, 100 * RECORD_BYTES)
     gate = Gate(SELF, records, 1.0)
     context.now = 50.0
-    assert take_epoch(gate, 3, OWNER)
-    spread = Spread(Replica())
-    context.agent = agents.new_agent("cell", gate, copies, spread, 20.0, context.now)
+    assert accept_epoch(gate, 3, OWNER)
+    sync = ConfigurationSync(Replica())
+    context.agent = agents.new_agent("cell", gate, copies, sync, 20.0, context.now)
     worker = Announcement(
         SELF.worker, "routes", "dc", "rack", {}, Capacity(8, memory_mb=1000)
     )
@@ -90,7 +90,7 @@
 
 
 def wishes(context):
-    kinds = (StopUpstream, SteerUpstream)
+    kinds = (StopUpstream, ControlUpstream)
     return [wish_of(one) for one in context.agent.effects if isinstance(one, kinds)]
 
 
--- a/features/steps/once_bounds_steps.py
+++ b/features/steps/once_bounds_steps.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 
 from cactuswalk.model import Outcome, RefusalCode
-from cactuswalk.state.answered import ANSWERED_BYTES, unpack
-from cactuswalk.state.answers import find
+from cactuswalk.state.answered import ANSWERED_OVERHEAD_BYTES, unpack
+from cactuswalk.state.answers import find_submission
 from cactuswalk.state.retention import RECORD_BYTES
 from features.support.bag import small_cell
 from features.support.judge import violations
@@ -18,7 +18,7 @@
 def step_small_ledger(context, room):
     context.bag = small_cell(3, seed=5)
     owner = context.bag.owner().state.owner
-    owner.maximum_bytes = room * (ANSWERED_BYTES + PACKED_BYTES)
+    owner.maximum_bytes = room * (ANSWERED_OVERHEAD_BYTES + PACKED_BYTES)
 
 
 @given("a settled cell with room for 20 records on each agent")
@@ -128,7 +128,9 @@
     first, again = context.first.reply, context.again.reply
     assert first.outcome is again.outcome is Outcome.ANSWERED, (first, again)
     assert len(first.results) == 3 and first.results == again.results, again
-    tracked = find(context.bag.owner().state.owner, context.first.job.submission)
+    tracked = find_submission(
+        context.bag.owner().state.owner, context.first.job.submission
+    )
     assert set(tracked.waiters) == {"tcp://entry-0", "tcp://entry-1"}, tracked
     assert tracked.answer.results == first.results, tracked.answer
     assert own_starts(context) == 3
--- a/features/steps/once_cells_steps.py
+++ b/features/steps/once_cells_steps.py
@@ -228,7 +228,7 @@
     bag = context.bag
     submit_everywhere(context)
     # Further back than the records reach that a new owner collects.
-    bag.run(3 * bag.timing.recent)
+    bag.run(3 * bag.timing.lookback)
     for cell in (CELL, SECOND):
         bag.kill(bag.owner(cell).name)
     bag.run(6.0)
--- a/features/steps/once_gate_steps.py
+++ b/features/steps/once_gate_steps.py
@@ -7,10 +7,10 @@
 from cactuswalk.model import Member, TaskOutcome, TaskResult, TaskSpec, TaskState
 from cactuswalk.state.gate import (
     Gate,
+    accept_epoch,
     check_start,
+    record_decline,
     record_start,
-    take_epoch,
-    tombstone,
 )
 from cactuswalk.state.retention import RECORD_BYTES, RecordBook
 
@@ -42,17 +42,17 @@
 def step_gate(context):
     records = RecordBook(600.0, 100 * RECORD_BYTES)
     context.gate = Gate(SELF, records, 1.0, slots=2)
-    assert take_epoch(context.gate, 3, OWNER)
+    assert accept_epoch(context.gate, 3, OWNER)
 
 
 def offer(context, start: Start, now: float = NOW):
     context.start = start
-    context.verdict = check_start(context.gate, start, now)
-    if context.verdict.passes:
+    context.decision = check_start(context.gate, start, now)
+    if context.decision.is_allowed:
         record_start(context.gate, start, now)
-    elif not context.verdict.repeat:
-        tombstone(context.gate, start, now)
-    return context.verdict
+    elif not context.decision.is_duplicate:
+        record_decline(context.gate, start, now)
+    return context.decision
 
 
 def end(context, index: int = 0) -> None:
@@ -92,13 +92,13 @@
 
 @then("the start is declined")
 def step_declined(context):
-    assert not context.verdict.passes and not context.verdict.repeat
-    assert context.verdict.reason
+    assert not context.decision.is_allowed and not context.decision.is_duplicate
+    assert context.decision.reason
 
 
 @then("the start passes")
 def step_passes(context):
-    assert context.verdict.passes, context.verdict
+    assert context.decision.is_allowed, context.decision
 
 
 @then("the start is declined and leaves no record")
@@ -109,22 +109,22 @@
 
 @when("it is offered the same start twice")
 def step_twice(context):
-    assert offer(context, make_start()).passes
+    assert offer(context, make_start()).is_allowed
     context.second = offer(context, make_start())
 
 
 @then("the second is a repeat, also after the task has ended")
 def step_repeat(context):
-    assert context.second.repeat and not context.second.passes
+    assert context.second.is_duplicate and not context.second.is_allowed
     end(context)
     again = offer(context, make_start())
-    assert again.repeat and not again.passes
+    assert again.is_duplicate and not again.is_allowed
 
 
 def fill_slots(context) -> None:
-    assert offer(context, make_start(index=1, total=3)).passes
-    assert offer(context, make_start(index=2, total=3)).passes
-    assert not offer(context, make_start(total=3)).passes
+    assert offer(context, make_start(index=1, total=3)).is_allowed
+    assert offer(context, make_start(index=2, total=3)).is_allowed
+    assert not offer(context, make_start(total=3)).is_allowed
     end(context, 1)
 
 
@@ -136,7 +136,7 @@
 
 @then("the copy is declined")
 def step_copy_declined(context):
-    assert not context.verdict.passes and not context.verdict.repeat
+    assert not context.decision.is_allowed and not context.decision.is_duplicate
 
 
 @when("a start is declined since the slots are taken, and a later attempt comes")
@@ -147,12 +147,12 @@
 
 @then("the later attempt passes")
 def step_later_passes(context):
-    assert context.verdict.passes
+    assert context.decision.is_allowed
 
 
 @when("a task has ended and a later attempt of it comes")
 def step_ended(context):
-    assert offer(context, make_start()).passes
+    assert offer(context, make_start()).is_allowed
     end(context)
     offer(context, make_start(attempt=11))
 
@@ -164,18 +164,18 @@
 
 @then("it is not started")
 def step_not_started(context):
-    assert not context.verdict.passes
+    assert not context.decision.is_allowed
 
 
 @then("it is started")
 def step_started(context):
-    assert context.verdict.passes
+    assert context.decision.is_allowed
 
 
 @when("the records are full and a start comes")
 def step_full(context):
     context.gate.records.maximum_bytes = RECORD_BYTES
-    assert offer(context, make_start(index=1, total=2)).passes
+    assert offer(context, make_start(index=1, total=2)).is_allowed
     offer(context, make_start(total=2))
 
 
@@ -239,7 +239,7 @@
 @when("another agent claims the epoch in force")
 def step_claim(context):
     try:
-        take_epoch(context.gate, 3, Member("worker-9", "other", "tcp://worker-9"))
+        accept_epoch(context.gate, 3, Member("worker-9", "other", "tcp://worker-9"))
     except CactuswalkError as error:
         context.error = error
 
--- a/features/steps/once_lost_steps.py
+++ b/features/steps/once_lost_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cactuswalk.model import Outcome
-from cactuswalk.state.readiness import reasons_against
+from cactuswalk.state.readiness import unready_reasons
 from features.steps.once_directed_takeover_steps import kill_owner
 from features.support.bag import Bag
 from features.support.directed import (
@@ -178,7 +178,7 @@
     told = set()
 
     def ready():
-        reasons = reasons_against(entry, bag.now)
+        reasons = unready_reasons(entry, bag.now)
         told.update(reason.split(";")[0] for reason in reasons)
         return not reasons
 
--- a/src/cactuswalk/http/callers.py
+++ b/src/cactuswalk/http/callers.py
@@ -46,7 +46,7 @@
 from cactuswalk.settings import CallerIdentity, EntrySettings
 from cactuswalk.settings.converters import is_name
 from cactuswalk.state.effects import Reply
-from cactuswalk.state.events import CallerCancelled, CallerGone, CallerSubmitted
+from cactuswalk.state.events import CallerCancelled, CallerDisconnected, CallerSubmitted
 
 __all__ = ["EntryCallables", "make_callers_application"]
 
@@ -72,7 +72,7 @@
     """
 
     submit: Callable[[CallerSubmitted], Awaitable[Reply]]
-    caller_gone: Callable[[CallerGone], None]
+    caller_gone: Callable[[CallerDisconnected], None]
     cancel: Callable[[CallerCancelled], None]
     query: Callable[[str, str], Awaitable[JobState | None]]
     not_ready: Callable[[], list[str]]
@@ -242,7 +242,7 @@
         except asyncio.CancelledError:
             # The caller has closed its connection; without this word its work
             # would go on and hold a slot for nobody.
-            self.entry.caller_gone(CallerGone(event.waiter))
+            self.entry.caller_gone(CallerDisconnected(event.waiter))
             raise
         finally:
             self.waiting_count -= 1
--- a/src/cactuswalk/http/operators.py
+++ b/src/cactuswalk/http/operators.py
@@ -37,7 +37,7 @@
     find_mistakes,
     object_key,
 )
-from cactuswalk.state.configuration import InForce, Replica
+from cactuswalk.state.configuration import NodesInForce, Replica
 
 __all__ = ["OperatorsInterface", "make_operators_application"]
 
@@ -50,7 +50,7 @@
 
     :param operators: names of operators, by the SHA-256 of their tokens in
         hexadecimal, so that the settings hold no token.
-    :param publish: takes each accepted change for the entry's ``Spread``.
+    :param publish: takes each accepted change for the entry's ``ConfigurationSync``.
     :param status: returns what ``cactuswalk status`` shows.
     :param explain: answers "where may this job land, and why not there".
     :param in_force: says on how many of the known nodes a revision is in force.
@@ -65,7 +65,7 @@
     publish: Callable[[ConfigurationUpdate], None]
     status: Callable[[], object]
     explain: Callable[[dict[str, str]], Awaitable[object]]
-    in_force: Callable[[int], InForce]
+    in_force: Callable[[int], NodesInForce]
     wall_ms: Callable[[], int]
     is_heard: Callable[[str], bool] = lambda cell: False
     log: Callable[[str, dict[str, object]], None] = lambda sentence, fields: None
--- a/src/cactuswalk/http/operators_store.py
+++ b/src/cactuswalk/http/operators_store.py
@@ -258,7 +258,7 @@
 ) -> None:
     """Hand all changes in the service to a replica until cancelled.
 
-    :param publish: called with each update, for the entry's own ``Spread``.
+    :param publish: called with each update, for the entry's own ``ConfigurationSync``.
     """
     follower = ConfigurationFollower(keys)
     async for batch in keys.store.watch(keys.prefix, 0):
--- a/src/cactuswalk/http/upstream.py
+++ b/src/cactuswalk/http/upstream.py
@@ -16,7 +16,7 @@
 from yarl import URL
 
 from cactuswalk.errors import CactuswalkError
-from cactuswalk.state.effects import CallUpstream, SteerUpstream, StopUpstream
+from cactuswalk.state.effects import CallUpstream, ControlUpstream, StopUpstream
 from cactuswalk.state.events import UpstreamAnswered, UpstreamOutcome
 
 __all__ = ["MAX_ANSWER_BYTES", "UpstreamClient"]
@@ -172,13 +172,13 @@
         """Ask the upstream to stop a task; return whether it took the wish."""
         return await self._send_control(effect, "stop", None)
 
-    async def steer(self, effect: SteerUpstream) -> bool:
+    async def steer(self, effect: ControlUpstream) -> bool:
         """Ask it to throttle or save a task; return whether it took the wish."""
         wish = {"factor": effect.factor}
         return await self._send_control(effect, effect.action.value, wish)
 
     async def _send_control(
-        self, effect: StopUpstream | SteerUpstream, action: str, body: dict | None
+        self, effect: StopUpstream | ControlUpstream, action: str, body: dict | None
     ) -> bool:
         if self.url is None or self.single_use_session is None:
             return False
--- a/src/cactuswalk/runtime/agent.py
+++ b/src/cactuswalk/runtime/agent.py
@@ -10,7 +10,7 @@
 from cactuswalk.model import Member
 from cactuswalk.runtime.process import ProcessRuntime
 from cactuswalk.settings import AgentSettings
-from cactuswalk.state.effects import CallUpstream, SteerUpstream, StopUpstream
+from cactuswalk.state.effects import CallUpstream, ControlUpstream, StopUpstream
 from cactuswalk.state.events import UpstreamOutcome
 from cactuswalk.state.node import Node, handle, new_node
 from cactuswalk.state.timing import Timing
@@ -45,7 +45,7 @@
         self.upstream = UpstreamClient()
         self.application.effect_handlers[CallUpstream] = self._call_upstream
         self.application.effect_handlers[StopUpstream] = self._stop_upstream
-        self.application.effect_handlers[SteerUpstream] = self._steer_upstream
+        self.application.effect_handlers[ControlUpstream] = self._control_upstream
         self._add_hooks()
 
     async def run(self) -> None:
@@ -105,8 +105,8 @@
     async def _run_upstream_stop(self, effect: StopUpstream) -> None:
         await self.upstream.stop(effect)
 
-    def _steer_upstream(self, effect: SteerUpstream) -> None:
-        self.application.spawn(self._run_upstream_steer(effect))
+    def _control_upstream(self, effect: ControlUpstream) -> None:
+        self.application.spawn(self._run_upstream_control(effect))
 
-    async def _run_upstream_steer(self, effect: SteerUpstream) -> None:
+    async def _run_upstream_control(self, effect: ControlUpstream) -> None:
         await self.upstream.steer(effect)
--- a/src/cactuswalk/runtime/entry.py
+++ b/src/cactuswalk/runtime/entry.py
@@ -19,8 +19,8 @@
 from cactuswalk.settings import EntrySettings
 from cactuswalk.state.effects import Reply, ReplyState
 from cactuswalk.state.entry import EntryState, handle_entry, new_entry
-from cactuswalk.state.events import CallerAsked, CallerSubmitted, ConfigurationChanged
-from cactuswalk.state.readiness import reasons_against
+from cactuswalk.state.events import CallerQueried, CallerSubmitted, ConfigurationChanged
+from cactuswalk.state.readiness import unready_reasons
 from cactuswalk.state.timing import Timing
 
 __all__ = ["EntryProcess"]
@@ -87,7 +87,7 @@
             application.add_hook(self._open_operators, self._close_operators)
 
     def _find_template(self, name: str) -> JobTemplate | None:
-        found = self.state.spread.replica.get("job", name)
+        found = self.state.sync.replica.get("job", name)
         return found if isinstance(found, JobTemplate) else None
 
     async def _start_watches(self) -> None:
@@ -135,7 +135,7 @@
         request = str(next(self.serial))
         future = asyncio.get_running_loop().create_future()
         self.state_queries[request] = future
-        self.application.feed(CallerAsked(request, submission, service))
+        self.application.feed(CallerQueried(request, submission, service))
         try:
             return await future
         finally:
@@ -168,4 +168,4 @@
     def _list_unready_reasons(self, now: float) -> list[str]:
         if self.application.stopping:
             return ["this entry is stopping"]
-        return reasons_against(self.state, now)
+        return unready_reasons(self.state, now)
--- a/src/cactuswalk/runtime/operators.py
+++ b/src/cactuswalk/runtime/operators.py
@@ -12,10 +12,10 @@
 from cactuswalk.model.holding import SLOT_COUNT, count_open_slots
 from cactuswalk.observations import Log, Part
 from cactuswalk.runtime.application import Application
-from cactuswalk.state.configuration import InForce, add_up
+from cactuswalk.state.configuration import NodesInForce, count_in_force
 from cactuswalk.state.effects import ReplyExplanation
 from cactuswalk.state.entry import EntryState
-from cactuswalk.state.events import ConfigurationChanged, OperatorAsked
+from cactuswalk.state.events import ConfigurationChanged, ExplainRequested
 from cactuswalk.state.listening import is_silent
 
 __all__ = ["OperatorsAdapter"]
@@ -43,7 +43,7 @@
         """Return the callables and data that the HTTP interface needs."""
         return OperatorsInterface(
             keys=keys,
-            replica=state.spread.replica,
+            replica=state.sync.replica,
             operators=self.operators,
             publish=self.publish,
             status=lambda: self.status(state),
@@ -65,7 +65,7 @@
     def status(self, state: EntryState) -> dict[str, object]:
         """Return this entry's view of the system."""
         now = time.monotonic()
-        replica = state.spread.replica
+        replica = state.sync.replica
         cells = [_cell_status(view, now) for view in state.cells.values()]
         return {
             "entry": self.name,
@@ -85,7 +85,7 @@
         future = asyncio.get_running_loop().create_future()
         self.waiters[request] = future
         try:
-            self.application.feed(OperatorAsked(request, _build_job(state, query)))
+            self.application.feed(ExplainRequested(request, _build_job(state, query)))
             cells = await future
         finally:
             self.waiters.pop(request, None)
@@ -106,12 +106,12 @@
             future.set_result(effect.cells)
 
 
-def in_force(state: EntryState, revision: int) -> InForce:
+def in_force(state: EntryState, revision: int) -> NodesInForce:
     """Count the nodes of all known cells on which a revision is in force."""
-    return add_up(revision, state.held.values())
+    return count_in_force(revision, state.held.values())
 
 
-def _format_in_force(found: InForce) -> str:
+def _format_in_force(found: NodesInForce) -> str:
     return f"{found.nodes_in_force} of {found.nodes}"
 
 
@@ -148,7 +148,7 @@
 
 def _build_job(state: EntryState, query: dict[str, str]) -> Job:
     """Build the job that a query describes, with defaults from its template."""
-    template = state.spread.replica.get("job", query.get("template", ""))
+    template = state.sync.replica.get("job", query.get("template", ""))
     if not isinstance(template, JobTemplate):
         template = JobTemplate(name="none")
     selectors = [template.selector, query.get("selector", "")]
--- a/src/cactuswalk/state/agent.py
+++ b/src/cactuswalk/state/agent.py
@@ -31,7 +31,7 @@
     TaskState,
     compute_digest,
 )
-from cactuswalk.state.configuration import Spread
+from cactuswalk.state.configuration import ConfigurationSync
 from cactuswalk.state.effects import (
     CallUpstream,
     Count,
@@ -49,12 +49,12 @@
 )
 from cactuswalk.state.gate import (
     Gate,
+    accept_epoch,
     check_start,
+    record_decline,
     record_start,
-    take_epoch,
-    tombstone,
 )
-from cactuswalk.state.guarding import Guard, on_reported, unwatch, watch
+from cactuswalk.state.guarding import Guard, add_task, on_usage_report, remove_task
 from cactuswalk.state.retention import RecordBook
 
 __all__ = ["AgentState", "new_agent"]
@@ -62,7 +62,7 @@
 
 # The first status that means that the upstream did not do what was asked, by
 # the fault of its own (RFC 9110, section 15.6).
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class AgentState(msgspec.Struct):
@@ -76,8 +76,8 @@
         since a task may come here after it was declined elsewhere.
     :param confirmed_at: when an owner of an epoch before the last fence was last
         confirmed.
-    :param spread: this process's copy of the configuration.
-    :param fenced_epoch: the epoch whose fence took ``handed_out``, the records
+    :param sync: this process's copy of the configuration.
+    :param fenced_epoch: the epoch whose fence took ``fenced_records``, the records
         as they stood then; parts that are asked for again must not shift.
     :param configuration: revision in force here.
     :param guard: of the worker's memory.
@@ -87,16 +87,16 @@
     cell: str
     gate: Gate
     copies: RecordBook
-    spread: Spread
+    sync: ConfigurationSync
     roster: list[Member] = []
     heard_at: float = 0.0
     announcement: Announcement | None = None
     announcement_serial: int = 0
     confirmed_at: float = 0.0
     fenced_epoch: int = 0
-    handed_out: list[Record] = []
-    handed_out_since: float = 0.0
-    recent: float = 20.0
+    fenced_records: list[Record] = []
+    fenced_since: float = 0.0
+    lookback: float = 20.0
     configuration: int = 0
     effects: list[Effect] = []
     guard: Guard = msgspec.field(default_factory=Guard)
@@ -106,13 +106,13 @@
     cell: str,
     gate: Gate,
     copies: RecordBook,
-    spread: Spread,
-    recent: float,
+    sync: ConfigurationSync,
+    lookback: float,
     now: float,
 ) -> AgentState:
     """Return the state of an agent that has just been started."""
     return AgentState(
-        cell, gate, copies, spread, heard_at=now, confirmed_at=now, recent=recent
+        cell, gate, copies, sync, heard_at=now, confirmed_at=now, lookback=lookback
     )
 
 
@@ -128,10 +128,10 @@
         announcement, ready=ready, serial=state.announcement_serial
     )
     state.gate.slots = announcement.capacity.slots if ready else 0
-    _tell_announcement(state)
+    _send_announcement(state)
 
 
-def _tell_announcement(state: AgentState) -> None:
+def _send_announcement(state: AgentState) -> None:
     """Tell the owner at once; the next ping asks for it if this is lost.
 
     Until then it would go on placing tasks at an upstream that is gone, and each
@@ -148,7 +148,7 @@
     gate = state.gate
     if _confirm(state, ping):
         state.heard_at = now
-        state.effects += state.spread.heard(sender, ping.configuration, now)
+        state.effects += state.sync.request_if_behind(sender, ping.configuration, now)
         if ping.announcement != state.announcement_serial and state.announcement:
             join = Join(state.cell, gate.member, state.announcement)
             state.effects.append(Send(sender, join))
@@ -158,12 +158,12 @@
         gate.epoch,
         gate.member.incarnation,
         ping.serial,
-        stamp_of(now),
-        distances(gate.running.values()),
+        make_stamp(now),
+        delta_encode(gate.running.values()),
         state.configuration,
         _is_ready(state),
         state.announcement_serial,
-        sorted(state.spread.replica.ahead),
+        sorted(state.sync.replica.ahead),
     )
     state.effects.append(Send(sender, pong))
 
@@ -174,7 +174,7 @@
     if ping.owner is None:
         return ping.epoch == gate.epoch
     earlier = gate.epoch
-    if not take_epoch(gate, ping.epoch, ping.owner):
+    if not accept_epoch(gate, ping.epoch, ping.owner):
         return False
     if ping.epoch > earlier:
         state.confirmed_at = state.heard_at
@@ -185,14 +185,14 @@
 def on_start(state: AgentState, sender: str, start: Start, now: float) -> None:
     """The owner wants a task started here."""
     gate = state.gate
-    verdict = check_start(gate, start, now)
-    if verdict.repeat:
+    decision = check_start(gate, start, now)
+    if decision.is_duplicate:
         state.effects.append(Count("agent.start.repeated"))
         return
-    if not verdict.passes:
-        tombstone(gate, start, now)
+    if not decision.is_allowed:
+        record_decline(gate, start, now)
         state.effects.append(Count("agent.start.declined"))
-        _log(state, "declined a start", start, reason=verdict.reason)
+        _log(state, "declined a start", start, reason=decision.reason)
         declined = Declined(
             state.cell,
             gate.member.incarnation,
@@ -200,12 +200,12 @@
             start.submission,
             start.index,
             start.attempt,
-            verdict.reason,
+            decision.reason,
         )
         state.effects.append(Send(sender, declined))
         return
     record_start(gate, start, now)
-    watch(state.guard, start)
+    add_task(state.guard, start)
     _log(state, "started a task", start, epoch=start.epoch)
     left_ms = start.remaining_ms - int(now * 1000 - start.stamp)
     call = CallUpstream(
@@ -232,7 +232,7 @@
         state.effects.append(Count("agent.answer.stale"))
         return
     del gate.running[place]
-    stopped = unwatch(state.guard, *place)
+    stopped = remove_task(state.guard, *place)
     ended = msgspec.structs.replace(record)
     if event.outcome is UpstreamOutcome.NOT_SENT:
         ended.state = TaskState.DECLINED
@@ -243,14 +243,14 @@
     result = ended.result
     # The book may drop the body at once for want of room; the owner gets it.
     gate.records.put(ended, now)
-    _tell_owner(state, ended, result, event.elapsed_ms)
+    _report_end(state, ended, result, event.elapsed_ms)
 
 
 def on_usage(state: AgentState, event: UsageReported, now: float) -> None:
     """The upstream has reported what its tasks use."""
     if state.announcement is not None:
         capacity, worker = state.announcement.capacity, state.gate.member.worker
-        effects = on_reported(state.guard, event.usages, capacity, worker, now)
+        effects = on_usage_report(state.guard, event.usages, capacity, worker, now)
         state.effects += effects
 
 
@@ -264,7 +264,7 @@
     if record is None or (
         record.state is TaskState.DECLINED and record.attempt < probe.attempt
     ):
-        record = _decline_unseen(state, probe, now)
+        record = _decline_unknown(state, probe, now)
     if record.state is TaskState.RUNNING:
         place = (probe.submission, probe.index)
         running = Running(state.cell, gate.member.incarnation, *place, record.attempt)
@@ -272,7 +272,7 @@
         if probe.stop:
             state.effects.append(StopUpstream(*place, record.attempt))
         return
-    _tell_owner(state, record, record.result, 0)
+    _report_end(state, record, record.result, 0)
 
 
 def on_heard(
@@ -286,14 +286,14 @@
     state.effects.append(Send(sender, reply))
 
 
-def distances(attempts: Iterable[int]) -> list[int]:
+def delta_encode(attempts: Iterable[int]) -> list[int]:
     """Return numbers as the lowest and the distance of each from the one below."""
     ordered = sorted(attempts)
     steps = [later - one for one, later in itertools.pairwise(ordered)]
     return ordered[:1] + steps
 
 
-def stamp_of(now: float) -> int:
+def make_stamp(now: float) -> int:
     """Return the stamp for a moment: whole milliseconds, rounded down."""
     return int(now * 1000)
 
@@ -302,7 +302,7 @@
     return state.gate.slots > 0 and not state.gate.stopping
 
 
-def _decline_unseen(state: AgentState, probe: Probe, now: float) -> Record:
+def _decline_unknown(state: AgentState, probe: Probe, now: float) -> Record:
     """Decline an attempt that never came, so that it can't come later."""
     record = Record(
         probe.submission,
@@ -322,7 +322,7 @@
     if event.outcome is UpstreamOutcome.UNCERTAIN:
         reason = "the upstream was called and gave no whole answer"
         return TaskResult(event.index, TaskOutcome.UNKNOWN, reason=reason)
-    if event.status >= FIRST_SERVER_ERROR:
+    if event.status >= MIN_SERVER_ERROR_STATUS:
         if stopped:
             return TaskResult(event.index, TaskOutcome.FAILED, reason=stopped)
         reason = f"the upstream answered with status {event.status}"
@@ -336,7 +336,7 @@
     )
 
 
-def _tell_owner(
+def _report_end(
     state: AgentState, record: Record, result: TaskResult | None, elapsed_ms: int
 ) -> None:
     """Tell the owner in force how an attempt ended; it may be a new one."""
--- a/src/cactuswalk/state/answered.py
+++ b/src/cactuswalk/state/answered.py
@@ -9,11 +9,11 @@
 
 from cactuswalk.state.ledger import Tracked, body_bytes_of
 
-__all__ = ["ANSWERED_BYTES", "Answered", "answered_of", "pack", "unpack"]
+__all__ = ["ANSWERED_OVERHEAD_BYTES", "Answered", "pack_answered", "pack", "unpack"]
 
 # What an answered submission takes besides its packed bytes: its name, its places in a
 # dictionary and two queues, two moments.
-ANSWERED_BYTES = 300
+ANSWERED_OVERHEAD_BYTES = 300
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Tracked)
@@ -35,7 +35,7 @@
     @property
     def kept_bytes(self) -> int:
         """Return about how many bytes it takes, less its answer's bodies."""
-        return ANSWERED_BYTES + len(self.packed) - self.body_bytes
+        return ANSWERED_OVERHEAD_BYTES + len(self.packed) - self.body_bytes
 
 
 def pack(tracked: Tracked) -> bytes:
@@ -63,7 +63,7 @@
     return tracked
 
 
-def answered_of(tracked: Tracked, kept_until: float) -> Answered:
+def pack_answered(tracked: Tracked, kept_until: float) -> Answered:
     """Return what is kept of a submission that has just been answered."""
     return Answered(
         tracked.job.submission,
--- a/src/cactuswalk/state/answers.py
+++ b/src/cactuswalk/state/answers.py
@@ -13,17 +13,24 @@
     TaskResult,
     TaskSpec,
 )
-from cactuswalk.state.agent import stamp_of
-from cactuswalk.state.answered import Answered, answered_of, pack, unpack
+from cactuswalk.state.agent import make_stamp
+from cactuswalk.state.answered import Answered, pack, pack_answered, unpack
 from cactuswalk.state.ledger import Tracked, answer_of
 from cactuswalk.state.owner import OwnerState
 
-__all__ = ["find", "forget_oldest", "give_answer", "keep", "refuse", "send_answer"]
+__all__ = [
+    "find_submission",
+    "evict_oldest",
+    "give_answer",
+    "update_answered",
+    "refuse_submission",
+    "send_answer",
+]
 
 
 # Answered submissions younger than this are never forgotten: three times the
 # clocks' margins, so that new keys stay well clear of what is forgotten.
-KEPT_AT_LEAST = 10.0
+MIN_KEPT_SECONDS = 10.0
 
 # One list for all answered submissions; nobody adds to the tasks of a job.
 NO_TASKS: list[TaskSpec] = []
@@ -55,16 +62,16 @@
     )
     for address, attempt in tracked.waiters.items():
         send_answer(state, tracked.answer, address, attempt, now)
-    _take_leave(state, tracked, now)
-    _make_room(state, now)
+    _move_to_answered(state, tracked, now)
+    _enforce_limits(state, now)
 
 
-def _take_leave(state: OwnerState, tracked: Tracked, now: float) -> None:
+def _move_to_answered(state: OwnerState, tracked: Tracked, now: float) -> None:
     """Move an answered submission from the open ones to the kept ones."""
     name = tracked.job.submission
     state.open.pop(name, None)
     state.ledger.pop(name, None)
-    answered = answered_of(tracked, now + state.timing.retention)
+    answered = pack_answered(tracked, now + state.timing.retention)
     state.answered[name] = answered
     state.kept.append(answered)
     state.kept_bytes += answered.kept_bytes
@@ -73,10 +80,10 @@
         state.body_bytes += answered.body_bytes
 
 
-def find(state: OwnerState, submission: str) -> Tracked | None:
+def find_submission(state: OwnerState, submission: str) -> Tracked | None:
     """Return a submission, open or answered; None if it is not known here.
 
-    What is changed of an answered one has to be kept with ``keep``.
+    What is changed of an answered one has to be kept with ``update_answered``.
     """
     tracked = state.ledger.get(submission)
     if tracked is not None:
@@ -85,7 +92,7 @@
     return unpack(answered) if answered is not None else None
 
 
-def keep(state: OwnerState, tracked: Tracked) -> None:
+def update_answered(state: OwnerState, tracked: Tracked) -> None:
     """Keep what has changed of an answered submission."""
     answered = state.answered[tracked.job.submission]
     state.kept_bytes -= answered.kept_bytes
@@ -93,7 +100,7 @@
     state.kept_bytes += answered.kept_bytes
 
 
-def _make_room(state: OwnerState, now: float) -> None:
+def _enforce_limits(state: OwnerState, now: float) -> None:
     """Keep within the bounds, of bodies and of submissions.
 
     No submission is forgotten while it is young. A key is told from a forgotten one by
@@ -102,12 +109,12 @@
     """
     while state.body_bytes > state.maximum_bytes and state.with_bodies:
         _drop_bodies(state, state.with_bodies.popleft())
-    youngest = now - KEPT_AT_LEAST
+    youngest = now - MIN_KEPT_SECONDS
     while state.kept_bytes > state.maximum_bytes and state.kept:
         if state.kept[0].tracked_at > youngest:
             state.count("kept.over_bound")
             return
-        forget_oldest(state, early=True)
+        evict_oldest(state, early=True)
 
 
 def _drop_bodies(state: OwnerState, answered: Answered) -> None:
@@ -134,7 +141,7 @@
     state.kept_bytes += answered.kept_bytes
 
 
-def forget_oldest(state: OwnerState, early: bool) -> None:
+def evict_oldest(state: OwnerState, early: bool) -> None:
     """Forget the submission that was answered first.
 
     :param early: before its time, for want of room; then what is as old may
@@ -158,11 +165,11 @@
     state: OwnerState, answer: Answer, address: str, attempt: int, now: float
 ) -> None:
     """Send an answer to one entry, under the attempt that it waits for."""
-    fields = {"attempt": attempt, "epoch": state.record.epoch, "stamp": stamp_of(now)}
+    fields = {"attempt": attempt, "epoch": state.record.epoch, "stamp": make_stamp(now)}
     state.send(address, msgspec.structs.replace(answer, **fields))
 
 
-def refuse(
+def refuse_submission(
     state: OwnerState,
     sender: str,
     submit: Submit,
@@ -192,6 +199,6 @@
         refusal,
         b"",
         state.record.epoch,
-        stamp_of(now),
+        make_stamp(now),
     )
     state.send(sender, answer)
--- a/src/cactuswalk/state/attempts.py
+++ b/src/cactuswalk/state/attempts.py
@@ -12,7 +12,13 @@
 from cactuswalk.state.ledger import Place, Stage, Task, Tracked
 from cactuswalk.state.owner import OwnerState
 
-__all__ = ["fall_back", "hedge", "is_current", "other_of", "try_again"]
+__all__ = [
+    "fall_back_to_other",
+    "start_hedges",
+    "is_current",
+    "find_other_attempt",
+    "requeue_request",
+]
 
 
 def is_current(task: Task, incarnation: str, attempt: int) -> bool:
@@ -25,26 +31,26 @@
     )
 
 
-def other_of(task: Task, attempt: int) -> Place | None:
+def find_other_attempt(task: Task, attempt: int) -> Place | None:
     """Return the attempt that runs beside this one, None if there is none."""
     if task.hedge is None:
         return None
     return task.place if task.hedge.attempt == attempt else task.hedge
 
 
-def fall_back(task: Task, incarnation: str, attempt: int) -> bool:
+def fall_back_to_other(task: Task, incarnation: str, attempt: int) -> bool:
     """Wait on for the other attempt when one has come to nothing.
 
     :return: False if there is no other one.
     """
-    other = other_of(task, attempt)
+    other = find_other_attempt(task, attempt)
     if other is None:
         return False
     task.place, task.hedge = other, None
     return True
 
 
-def try_again(
+def requeue_request(
     state: OwnerState, tracked: Tracked, result: TaskResult, now: float
 ) -> bool:
     """Queue a request again that failed or whose outcome is open.
@@ -71,7 +77,7 @@
     return True
 
 
-def hedge(
+def start_hedges(
     state: OwnerState,
     now: float,
     send_start: Callable[[OwnerState, Tracked, int, Place, float], None],
--- a/src/cactuswalk/state/callers.py
+++ b/src/cactuswalk/state/callers.py
@@ -14,21 +14,21 @@
     Send,
 )
 from cactuswalk.state.entryview import (
-    OWNER_AWAITED,
+    MAX_OWNER_WAIT_SECONDS,
     RETRY_WITHOUT_OWNER_MS,
     CellView,
     EntryState,
     Pending,
-    age_ms,
-    give_up,
+    key_age_ms,
     log,
-    no_owner,
-    outcome_unsent,
+    make_no_owner_refusal,
+    outcome_if_unsent,
+    refuse_pending,
     refuse_waiter,
 )
 from cactuswalk.state.events import (
     CallerCancelled,
-    CallerGone,
+    CallerDisconnected,
     CallerSubmitted,
 )
 from cactuswalk.state.moving import choose_cell, is_served, mint_well
@@ -36,7 +36,7 @@
 
 __all__ = [
     "on_caller_cancelled",
-    "on_caller_gone",
+    "on_caller_disconnected",
     "on_caller_submitted",
 ]
 
@@ -44,7 +44,7 @@
 def on_caller_submitted(state: EntryState, event: CallerSubmitted, now: float) -> None:
     """A caller has handed in a checked job."""
     job = event.job
-    refusal = _refusal_at_door(state, event, now)
+    refusal = _check_submission(state, event, now)
     if refusal is not None:
         _refuse(state, event, refusal)
         return
@@ -55,7 +55,7 @@
     if event.minted:
         mint_well(state, job, now)
     cell = choose_cell(state, job)
-    refusal = _refusal_without_owner(cell, now)
+    refusal = _check_owner(cell, now)
     if refusal is not None:
         _refuse(state, event, refusal)
         return
@@ -80,16 +80,16 @@
 
 
 def _refuse(state: EntryState, event: CallerSubmitted, refusal: Refusal) -> None:
-    outcome = outcome_unsent(event.minted)
+    outcome = outcome_if_unsent(event.minted)
     refuse_waiter(state, event.waiter, event.job.submission, outcome, refusal)
 
 
-def _refusal_at_door(
+def _check_submission(
     state: EntryState, event: CallerSubmitted, now: float
 ) -> Refusal | None:
     """Return why a submission goes no further than this entry."""
     job = event.job
-    age = age_ms(state, job, now)
+    age = key_age_ms(state, job, now)
     margin_ms = state.timing.clock_margin * 1000
     if age > state.timing.retention * 1000 - margin_ms:
         return Refusal(
@@ -107,11 +107,11 @@
     if state.stopping:
         return Refusal(RefusalCode.STOPPING, "this entry is stopping", 0)
     if not is_served(state, job.service):
-        return _refusal_without_cell(state, job)
+        return _make_no_cell_refusal(state, job)
     return None
 
 
-def _refusal_without_owner(cell: CellView, now: float) -> Refusal | None:
+def _check_owner(cell: CellView, now: float) -> Refusal | None:
     """Refuse at once where nobody has taken the cell over for long.
 
     In an outage of the key-value service nobody can. Each submission would wait
@@ -119,14 +119,14 @@
     """
     if cell.retired:
         return Refusal(RefusalCode.NO_OWNER, f"cell {cell.cell} was lost for good")
-    sought = cell.sought_since
-    if sought is None or now - sought <= OWNER_AWAITED:
+    sought = cell.silent_since
+    if sought is None or now - sought <= MAX_OWNER_WAIT_SECONDS:
         return None
-    return no_owner(cell)
+    return make_no_owner_refusal(cell)
 
 
-def _refusal_without_cell(state: EntryState, job: Job) -> Refusal:
-    if state.spread.replica.get("service", job.service) is not None:
+def _make_no_cell_refusal(state: EntryState, job: Job) -> Refusal:
+    if state.sync.replica.get("service", job.service) is not None:
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
             f"no worker has announced {job.service} yet",
@@ -159,7 +159,7 @@
     pending = state.pending.get(event.submission)
     if pending is not None and not pending.sent:
         refusal = Refusal(RefusalCode.CANCELLED, "its caller cancelled it")
-        give_up(state, pending, outcome_unsent(pending.minted), refusal)
+        refuse_pending(state, pending, outcome_if_unsent(pending.minted), refusal)
         return
     owners = {view.owner for view in state.cells.values() if view.owner}
     if pending is not None:
@@ -169,7 +169,9 @@
         state.effects.append(Send(owner, Cancel(event.submission)))
 
 
-def on_caller_gone(state: EntryState, event: CallerGone, now: float) -> None:
+def on_caller_disconnected(
+    state: EntryState, event: CallerDisconnected, now: float
+) -> None:
     """Nobody waits at this waiter any more; what runs goes on."""
     for pending in state.pending.values():
         if event.waiter in pending.waiters:
--- a/src/cactuswalk/state/cellviews.py
+++ b/src/cactuswalk/state/cellviews.py
@@ -22,13 +22,19 @@
 from cactuswalk.state.events import (
     KeyRead,
 )
-from cactuswalk.state.listening import ask, ask_again, hear, is_silent, pace
+from cactuswalk.state.listening import (
+    is_silent,
+    record_stamp,
+    repeat_request,
+    report_interval,
+    request_report,
+)
 from cactuswalk.state.roster import cell_key
 from cactuswalk.state.waiting import send_submit
 
 __all__ = [
-    "keep_configuration",
-    "keep_view",
+    "sync_configuration",
+    "refresh_view",
     "on_heard",
     "on_not_owner",
     "on_offer",
@@ -38,11 +44,11 @@
 ]
 
 # An owner that is found silent has its cell's record read again this often.
-READ_CELL_AFTER = 0.5
+CELL_READ_INTERVAL_SECONDS = 0.5
 # Entries tell each other what they hold this often, so that one that starts in
 # an outage of the service has the configuration within the five seconds in which
 # a change is to be in force.
-OFFER_PEERS_AFTER = 2.0
+PEER_OFFER_INTERVAL_SECONDS = 2.0
 
 
 def on_report(state: EntryState, sender: str, report: CellReport, now: float) -> None:
@@ -57,9 +63,9 @@
     if report.epoch > view.epoch:
         view.stamp = 0
     view.owner, view.epoch = sender, report.epoch
-    hear(view, report.stamp, now)
+    record_stamp(view, report.stamp, now)
     view.report = report
-    view.takes_keys_at = now + report.refuses_keys_ms / 1000
+    view.accepts_keys_at = now + report.refuses_keys_ms / 1000
     if report.workers is not None:
         view.workers, view.serial = report.workers, report.serial
     view.services |= set(report.free_slots)
@@ -94,7 +100,7 @@
     if message.epoch >= view.epoch and sender == view.owner:
         view.owner = ""
     if message.owner and message.epoch >= view.epoch and not view.owner:
-        ask(state, view, message.owner, now)
+        request_report(state, view, message.owner, now)
     pending = state.pending.get(message.submission)
     if pending is not None and pending.cell == message.cell:
         pending.sent_epoch = min(pending.sent_epoch, message.epoch - 1)
@@ -113,7 +119,7 @@
     owner = "" if silent else view.owner
     if owner and now - view.stamp_at > state.timing.confirm:
         # Not asked for long; by the agent's next question it is known.
-        ask_again(state, view, now)
+        repeat_request(state, view, now)
     word = NotOwner(heard.cell, view.epoch, owner, "", 0)
     state.effects.append(Send(sender, word))
 
@@ -122,7 +128,7 @@
     """A cell's record was read, to find its owner."""
     read = state.cells.get(event.key.removeprefix(cell_key("")))
     if read is not None:
-        read.unread = not event.known
+        read.record_unreadable = not event.known
     if not event.known or event.value is None:
         return
     record = msgspec.json.decode(event.value, type=CellRecord)
@@ -131,13 +137,13 @@
         view.revision, view.holdings = event.revision, record.holdings
     if not record.owner.address:
         view.retired, view.owner, view.epoch = True, "", record.epoch
-        _tell_heirs(state, record)
+        _notify_successors(state, record)
         return
     if record.epoch > view.epoch or not view.owner:
-        ask(state, view, record.owner.address, now)
+        request_report(state, view, record.owner.address, now)
 
 
-def _tell_heirs(state: EntryState, record: CellRecord) -> None:
+def _notify_successors(state: EntryState, record: CellRecord) -> None:
     """Tell cells that a retired one left them slots; nobody of it can.
 
     They find out by themselves too, but look at one cell a minute only.
@@ -150,7 +156,7 @@
             state.effects.append(Send(view.owner, CededSlots(record.cell, life, left)))
 
 
-def keep_view(state: EntryState, view: CellView, busy: bool, now: float) -> None:
+def refresh_view(state: EntryState, view: CellView, busy: bool, now: float) -> None:
     """Ask the owner at this entry's pace; look for another when it is silent.
 
     :param busy: a submission waits there.
@@ -158,12 +164,12 @@
     if view.retired:
         return
     quiet = now - view.stamp_at
-    if view.owner and quiet >= pace(state, view, busy):
-        ask_again(state, view, now)
+    if view.owner and quiet >= report_interval(state, view, busy):
+        repeat_request(state, view, now)
     silent = is_silent(view, state.timing.confirm, now)
-    if silent and view.sought_since is None:
-        view.sought_since = now
-    if silent and now - view.read_at >= READ_CELL_AFTER:
+    if silent and view.silent_since is None:
+        view.silent_since = now
+    if silent and now - view.read_at >= CELL_READ_INTERVAL_SECONDS:
         view.read_at = now
         state.effects.append(ReadKey(cell_key(view.cell)))
 
@@ -174,25 +180,25 @@
     """An owner or another entry says what it, and its cell, have in force."""
     if offer.cell:
         state.held[offer.cell] = offer.held
-    state.effects += state.spread.offered(sender, offer, now)
+    state.effects += state.sync.on_offer(sender, offer, now)
 
 
 def on_update(
     state: EntryState, sender: str, update: ConfigurationUpdate, now: float
 ) -> None:
     """Changes have come, from the watch, an operator here, or another node."""
-    applied, requests = state.spread.updated(sender, update, now)
+    applied, requests = state.sync.on_update(sender, update, now)
     state.effects += requests
     if applied.refused:
         state.effects.append(Count("configuration.refused", applied.refused))
     if applied.objects:
         owners = [view.owner for view in state.cells.values() if view.owner]
-        state.effects += state.spread.offers(owners)
+        state.effects += state.sync.make_offers(owners)
 
 
-def keep_configuration(state: EntryState, now: float) -> None:
+def sync_configuration(state: EntryState, now: float) -> None:
     """Repeat what was asked for, and ask peers while the service is away."""
-    state.effects += state.spread.tick(now)
-    if now - state.offered_at >= OFFER_PEERS_AFTER:
+    state.effects += state.sync.tick(now)
+    if now - state.offered_at >= PEER_OFFER_INTERVAL_SECONDS:
         state.offered_at = now
-        state.effects += state.spread.offers(state.peers)
+        state.effects += state.sync.make_offers(state.peers)
--- a/src/cactuswalk/state/configuration.py
+++ b/src/cactuswalk/state/configuration.py
@@ -30,12 +30,12 @@
 
 __all__ = [
     "Applied",
-    "InForce",
+    "NodesInForce",
     "Replica",
-    "Spread",
+    "ConfigurationSync",
     "WorkerView",
-    "add_up",
-    "fold",
+    "count_in_force",
+    "count_by_state",
     "holds",
     "view_worker",
 ]
@@ -44,8 +44,8 @@
 # at 0.6 s with 1% of frames lost, and at 2.2 s with 10% (tools/in_force.py). A
 # whole copy for the target's 8,300 workers is some megabytes and may be on its
 # way for longer; so the pause doubles, and few copies of it are sent.
-FIRST_PAUSE_SECONDS = 0.08
-LONGEST_PAUSE_SECONDS = 1.0
+INITIAL_WAIT_SECONDS = 0.08
+MAX_WAIT_SECONDS = 1.0
 
 
 class Applied(msgspec.Struct):
@@ -134,7 +134,7 @@
         """Return what this node has in force."""
         return ConfigurationOffer(self.revision, sorted(self.ahead))
 
-    def lacks(self, revision: int, ahead: Iterable[int] = ()) -> bool:
+    def is_missing(self, revision: int, ahead: Iterable[int] = ()) -> bool:
         """Return whether another node holds a change that this one lacks."""
         return revision > self.revision or not all(map(self.holds, ahead))
 
@@ -165,7 +165,7 @@
         self.ahead = {one for one in self.ahead.union(ahead) if one > revision}
 
 
-class Spread:
+class ConfigurationSync:
     """A replica's conversation with other nodes.
 
     An entry offers what it holds to the owners, an owner sends it to its
@@ -173,47 +173,47 @@
     message may be lost: each is caused again by the next ping or report.
     """
 
-    __slots__ = ("replica", "asked", "asked_of", "asked_at", "pause")
+    __slots__ = ("replica", "asked", "asked_address", "asked_at", "pause")
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         # The revision that was last asked for, of whom, and when to ask again.
         self.asked = 0
-        self.asked_of = ""
+        self.asked_address = ""
         self.asked_at = 0.0
         self.pause = 0.0
 
-    def offers(self, addresses: Iterable[str]) -> list[Send]:
+    def make_offers(self, addresses: Iterable[str]) -> list[Send]:
         """Tell nodes what is in force here, in a few bytes each."""
         offer = self.replica.offer()
         return [Send(address, offer) for address in addresses]
 
-    def alongside(self, addresses: Iterable[str]) -> list[Send]:
+    def offers_if_ahead(self, addresses: Iterable[str]) -> list[Send]:
         """Return what has to go with a ping or a pong.
 
         These carry one revision. Changes ahead of it, whose place the service
         went away too early to tell, would otherwise stop at the first node.
         """
-        return self.offers(addresses) if self.replica.ahead else []
+        return self.make_offers(addresses) if self.replica.ahead else []
 
-    def updates(self, before: int, addresses: Iterable[str]) -> list[Send]:
+    def make_updates(self, before: int, addresses: Iterable[str]) -> list[Send]:
         """Send all changes after the revision ``before`` to nodes."""
         update = self.replica.since(before)
         return [Send(address, update) for address in addresses]
 
-    def heard(
+    def request_if_behind(
         self, sender: str, revision: int, now: float, ahead: Iterable[int] = ()
     ) -> list[Send]:
         """Answer to what another node holds, as a ping or a report says.
 
         :return: a request if it holds more.
         """
-        if not self.replica.lacks(revision, ahead):
+        if not self.replica.is_missing(revision, ahead):
             return []
         wanted = max(revision, *ahead, 0) if ahead else revision
         if not self._may_ask(wanted, now):
             return []
-        self.asked_of = sender
+        self.asked_address = sender
         return [Send(sender, ConfigurationRequest(self.replica.revision))]
 
     def tick(self, now: float) -> list[Send]:
@@ -223,11 +223,13 @@
         every 250 ms put the 99th percentile above a second. What is not
         answered in a few tries waits for a ping: the peer may be gone.
         """
-        if self.replica.holds(self.asked) or self.pause >= LONGEST_PAUSE_SECONDS:
+        if self.replica.holds(self.asked) or self.pause >= MAX_WAIT_SECONDS:
             return []
-        return self.heard(self.asked_of, self.asked, now)
+        return self.request_if_behind(self.asked_address, self.asked, now)
 
-    def offered(self, sender: str, offer: ConfigurationOffer, now: float) -> list[Send]:
+    def on_offer(
+        self, sender: str, offer: ConfigurationOffer, now: float
+    ) -> list[Send]:
         """Ask for what the sender holds, or offer what it lacks.
 
         A node that lacks something itself never answers with an offer: two that
@@ -236,28 +238,30 @@
         asked for offers then.
         """
         mine = self.replica
-        if mine.lacks(offer.revision, offer.ahead):
-            return self.heard(sender, offer.revision, now, offer.ahead)
+        if mine.is_missing(offer.revision, offer.ahead):
+            return self.request_if_behind(sender, offer.revision, now, offer.ahead)
         behind = offer.revision < mine.revision or any(
             not holds(offer.revision, offer.ahead, one) for one in mine.ahead
         )
         return [Send(sender, mine.offer())] if behind else []
 
-    def requested(self, sender: str, request: ConfigurationRequest) -> list[Send]:
+    def on_request(self, sender: str, request: ConfigurationRequest) -> list[Send]:
         """Answer a request; an empty answer would only cause another one."""
         mine = self.replica
         if request.revision >= mine.revision and not mine.ahead:
             return []
         return [Send(sender, mine.since(request.revision))]
 
-    def updated(
+    def on_update(
         self, sender: str, update: ConfigurationUpdate, now: float
     ) -> tuple[Applied, list[Send]]:
         """Apply an update; ask for what it builds on where that is missing."""
         applied = self.replica.update(update)
         if not applied.gap:
             return applied, []
-        return applied, self.heard(sender, update.revision, now, update.ahead)
+        return applied, self.request_if_behind(
+            sender, update.revision, now, update.ahead
+        )
 
     def _may_ask(self, wanted: int, now: float) -> bool:
         """Note a request, unless the answer to an earlier one may be coming.
@@ -266,17 +270,17 @@
         behind until the next ping.
         """
         if wanted > self.asked:
-            self.pause = FIRST_PAUSE_SECONDS
+            self.pause = INITIAL_WAIT_SECONDS
         elif now - self.asked_at < self.pause:
             return False
         else:
-            self.pause = min(2 * self.pause, LONGEST_PAUSE_SECONDS)
+            self.pause = min(2 * self.pause, MAX_WAIT_SECONDS)
         self.asked = wanted
         self.asked_at = now
         return True
 
 
-class InForce(msgspec.Struct):
+class NodesInForce(msgspec.Struct):
     """On how many of the known nodes a revision is in force.
 
     :param lowest: revision up to which every node holds all.
@@ -293,7 +297,7 @@
     return change <= revision or change in ahead
 
 
-def fold(states: Iterable[tuple[int, Iterable[int]]]) -> list[NodeStateCount]:
+def count_by_state(states: Iterable[tuple[int, Iterable[int]]]) -> list[NodeStateCount]:
     """Count the nodes of a cell by what they hold.
 
     An owner folds its own state and its agents' last pongs; the result stays
@@ -311,7 +315,7 @@
     ]
 
 
-def add_up(revision: int, cells: Iterable[list[NodeStateCount]]) -> InForce:
+def count_in_force(revision: int, cells: Iterable[list[NodeStateCount]]) -> NodesInForce:
     """Add up over cells on how many nodes a revision is in force."""
     nodes = in_force = 0
     lowest: int | None = None
@@ -321,7 +325,7 @@
             if holds(one.revision, one.ahead, revision):
                 in_force += one.nodes
             lowest = one.revision if lowest is None else min(lowest, one.revision)
-    return InForce(revision, nodes, in_force, lowest or 0)
+    return NodesInForce(revision, nodes, in_force, lowest or 0)
 
 
 class WorkerView(msgspec.Struct):
--- a/src/cactuswalk/state/copying.py
+++ b/src/cactuswalk/state/copying.py
@@ -17,22 +17,22 @@
     Send,
 )
 from cactuswalk.state.gate import (
-    take_epoch,
+    accept_epoch,
 )
 from cactuswalk.state.retention import newer
 
-__all__ = ["RECORDS_A_PART", "on_adopt", "on_fence", "on_witness"]
+__all__ = ["MAX_RECORDS_PER_PART", "on_adopt", "on_fence", "on_witness"]
 
 # Records in one message. At some 200 bytes each without a body this is 40 KB,
 # which holds up neither end's loop for more than a few milliseconds.
-RECORDS_A_PART = 200
+MAX_RECORDS_PER_PART = 200
 
 
 def on_fence(state: AgentState, sender: str, fence: Fence, now: float) -> None:
     """A new owner has taken the cell: end the old epochs, hand out records."""
     gate = state.gate
     earlier = gate.epoch
-    if not take_epoch(gate, fence.epoch, fence.owner):
+    if not accept_epoch(gate, fence.epoch, fence.owner):
         state.effects.append(Count("agent.fence.refused"))
         return
     if fence.epoch > earlier:
@@ -40,30 +40,32 @@
     state.heard_at = now
     if state.fenced_epoch != fence.epoch:
         state.fenced_epoch = fence.epoch
-        _hand_out(state, now)
-    parts = max(1, math.ceil(len(state.handed_out) / RECORDS_A_PART))
+        _collect_records(state, now)
+    parts = max(1, math.ceil(len(state.fenced_records) / MAX_RECORDS_PER_PART))
     for part in range(parts):
-        first = part * RECORDS_A_PART
+        first = part * MAX_RECORDS_PER_PART
         fenced = Fenced(
             state.cell,
             fence.epoch,
             gate.member,
             part,
             parts,
-            state.handed_out[first : first + RECORDS_A_PART],
+            state.fenced_records[first : first + MAX_RECORDS_PER_PART],
             state.announcement,
             int((now - state.confirmed_at) * 1000),
-            int((now - state.handed_out_since) * 1000),
+            int((now - state.fenced_since) * 1000),
         )
         state.effects.append(Send(sender, fenced))
 
 
-def _hand_out(state: AgentState, now: float) -> None:
+def _collect_records(state: AgentState, now: float) -> None:
     """Take the records for a new owner as they stand, and how far they reach."""
-    since = now - state.recent
+    since = now - state.lookback
     records = state.gate.records
-    state.handed_out = records.changed_since(since) + state.copies.changed_since(since)
-    state.handed_out_since = max(since, records.known_since, state.copies.known_since)
+    state.fenced_records = records.changed_since(since) + state.copies.changed_since(
+        since
+    )
+    state.fenced_since = max(since, records.known_since, state.copies.known_since)
 
 
 def on_witness(state: AgentState, sender: str, witness: Witness, now: float) -> None:
--- a/src/cactuswalk/state/effects.py
+++ b/src/cactuswalk/state/effects.py
@@ -19,7 +19,7 @@
     "ReplyExplanation",
     "ReplyState",
     "Send",
-    "SteerUpstream",
+    "ControlUpstream",
     "StopUpstream",
     "SwapKey",
 ]
@@ -51,7 +51,7 @@
     attempt: int
 
 
-class SteerUpstream(msgspec.Struct):
+class ControlUpstream(msgspec.Struct):
     """Ask the upstream to throttle a running task, or to save it.
 
     :param factor: by which a throttled task is slowed; 1 lifts it.
@@ -113,7 +113,7 @@
     Send
     | CallUpstream
     | StopUpstream
-    | SteerUpstream
+    | ControlUpstream
     | Reply
     | ReplyState
     | ReplyExplanation
--- a/src/cactuswalk/state/entry.py
+++ b/src/cactuswalk/state/entry.py
@@ -22,20 +22,20 @@
 )
 from cactuswalk.state.callers import (
     on_caller_cancelled,
-    on_caller_gone,
+    on_caller_disconnected,
     on_caller_submitted,
 )
 from cactuswalk.state.cellviews import (
-    keep_configuration,
-    keep_view,
     on_heard,
     on_not_owner,
     on_offer,
     on_read,
     on_report,
     on_update,
+    refresh_view,
+    sync_configuration,
 )
-from cactuswalk.state.configuration import Replica, Spread
+from cactuswalk.state.configuration import ConfigurationSync, Replica
 from cactuswalk.state.effects import (
     Effect,
 )
@@ -44,25 +44,25 @@
     EntryState,
 )
 from cactuswalk.state.events import (
-    CallerAsked,
     CallerCancelled,
-    CallerGone,
+    CallerDisconnected,
+    CallerQueried,
     CallerSubmitted,
     ConfigurationChanged,
     Event,
+    ExplainRequested,
     KeyRead,
-    OperatorAsked,
     Received,
     StopRequested,
     Tick,
 )
 from cactuswalk.state.moving import keep_moving, on_not_held
 from cactuswalk.state.questions import (
-    expire_questions,
-    on_asked_state,
-    on_caller_asked,
+    expire_requests,
+    on_caller_queried,
+    on_explain_requested,
     on_explained,
-    on_operator_asked,
+    on_requested_state,
 )
 from cactuswalk.state.timing import Timing
 from cactuswalk.state.waiting import keep_pending, on_answer, on_job_state
@@ -79,8 +79,8 @@
     peers: Sequence[str] = (),
 ) -> EntryState:
     """Return the state of an entry that has just been started."""
-    spread = Spread(Replica())
-    state = EntryState(address, timing, generator, wall_ms, spread, list(peers))
+    sync = ConfigurationSync(Replica())
+    state = EntryState(address, timing, generator, wall_ms, sync, list(peers))
     state.attempt = generator.getrandbits(40)
     state.cells = {cell: CellView(cell) for cell in cells}
     return state
@@ -103,12 +103,12 @@
 def _on_tick(state: EntryState, event: Tick, now: float) -> None:
     busy = {pending.cell for pending in state.pending.values()}
     for view in state.cells.values():
-        keep_view(state, view, view.cell in busy, now)
-    keep_configuration(state, now)
+        refresh_view(state, view, view.cell in busy, now)
+    sync_configuration(state, now)
     for pending in list(state.pending.values()):
         keep_moving(state, pending, now)
         keep_pending(state, pending, now)
-    expire_questions(state, now)
+    expire_requests(state, now)
 
 
 def _on_stop_requested(state: EntryState, event: StopRequested, now: float) -> None:
@@ -125,7 +125,7 @@
     state: EntryState, sender: str, message: JobState, now: float
 ) -> None:
     if message.request:
-        on_asked_state(state, message)
+        on_requested_state(state, message)
     else:
         on_job_state(state, message, now)
 
@@ -133,15 +133,15 @@
 def _on_request(
     state: EntryState, sender: str, message: ConfigurationRequest, now: float
 ) -> None:
-    state.effects += state.spread.requested(sender, message)
+    state.effects += state.sync.on_request(sender, message)
 
 
 _ON_EVENT: dict[type, Callable] = {
     CallerSubmitted: on_caller_submitted,
     CallerCancelled: on_caller_cancelled,
-    CallerAsked: on_caller_asked,
-    CallerGone: on_caller_gone,
-    OperatorAsked: on_operator_asked,
+    CallerQueried: on_caller_queried,
+    CallerDisconnected: on_caller_disconnected,
+    ExplainRequested: on_explain_requested,
     ConfigurationChanged: _on_configuration_changed,
     KeyRead: on_read,
     StopRequested: _on_stop_requested,
--- a/src/cactuswalk/state/entryview.py
+++ b/src/cactuswalk/state/entryview.py
@@ -14,7 +14,7 @@
     Refusal,
     RefusalCode,
 )
-from cactuswalk.state.configuration import Spread
+from cactuswalk.state.configuration import ConfigurationSync
 from cactuswalk.state.effects import (
     Count,
     Effect,
@@ -25,19 +25,19 @@
 from cactuswalk.state.timing import Timing
 
 __all__ = [
-    "OWNER_AWAITED",
+    "MAX_OWNER_WAIT_SECONDS",
     "RETRY_WITHOUT_OWNER_MS",
-    "Asked",
+    "PendingStateQuery",
     "CellView",
     "EntryState",
     "Pending",
-    "Questioned",
-    "age_ms",
-    "give_up",
+    "PendingExplain",
+    "key_age_ms",
+    "refuse_pending",
     "last_attempt",
     "log",
-    "no_owner",
-    "outcome_unsent",
+    "make_no_owner_refusal",
+    "outcome_if_unsent",
     "refuse_waiter",
 ]
 
@@ -46,7 +46,7 @@
 # A takeover ends within this; until then a submission waits for its owner. Counted
 # from when the owner fell silent: where half of a cell is gone for good, those who
 # come later would wait for nothing, each up to its deadline.
-OWNER_AWAITED = 6.0
+MAX_OWNER_WAIT_SECONDS = 6.0
 
 
 class CellView(msgspec.Struct):
@@ -56,13 +56,13 @@
     :param holdings: which submissions fall to it, as far as is known here; an
         owner that doesn't hold one says so.
     :param retired: an operator has said that its hosts are gone for good.
-    :param unread: the key-value service gave no answer when its record was read
-        last; then nobody can take the cell over either.
+    :param record_unreadable: the key-value service gave no answer when its record
+        was last read; then no process can take the cell over either.
     :param stamp_at: when the owner's latest stamp came here.
-    :param sought_since: since when its owner has been silent, None while it
+    :param silent_since: since when its owner has been silent, None while it
         is heard.
-    :param takes_keys_at: from when on it takes keys that callers chose.
-    :param subscribed_at: when it was last asked for a report; ``asked_since``
+    :param accepts_keys_at: from when on it takes keys that callers chose.
+    :param subscribed_at: when it was last asked for a report; ``unanswered_since``
         the first time of those that nothing has answered.
     :param serial: of ``workers``, for its owner's epoch.
     """
@@ -74,16 +74,16 @@
     stamp: int = 0
     stamp_at: float = float("-inf")
     subscribed_at: float = float("-inf")
-    asked_since: float = float("inf")
+    unanswered_since: float = float("inf")
     read_at: float = float("-inf")
-    sought_since: float | None = None
-    takes_keys_at: float = float("-inf")
+    silent_since: float | None = None
+    accepts_keys_at: float = float("-inf")
     serial: int = 0
     workers: list[Announcement] = []
     report: CellReport | None = None
     holdings: list[Holding] = []
     revision: int = 0
-    unread: bool = False
+    record_unreadable: bool = False
     retired: bool = False
 
 
@@ -106,7 +106,7 @@
     attempts: set[int] = set()
     sent: bool = False
     sent_epoch: int = 0
-    sign_at: float = 0.0
+    last_sign_at: float = 0.0
     query_after: float = 0.0
     minted: bool = False
     hops: int = 0
@@ -114,7 +114,7 @@
     cancelled: bool = False
 
 
-class Asked(msgspec.Struct):
+class PendingStateQuery(msgspec.Struct):
     """A caller's question where a submission stands.
 
     :param owners: how many owners have yet to answer.
@@ -124,7 +124,7 @@
     owners: int
 
 
-class Questioned(msgspec.Struct):
+class PendingExplain(msgspec.Struct):
     """An operator's question where a job could be placed.
 
     :param owners: how many owners have yet to answer.
@@ -142,22 +142,22 @@
         rest on it.
     :param attempt: number of the last submit sent; starts at random, so that a
         restarted entry at the same address does not repeat one.
-    :param spread: this entry's copy of the configuration.
+    :param sync: this entry's copy of the configuration.
     :param peers: addresses of processes to learn the configuration from.
     :param held: by cell, what its nodes have in force, as its owner says.
-    :param asked: questions of callers that owners have not answered yet.
+    :param pending_queries: questions of callers that owners have not answered yet.
     """
 
     address: str
     timing: Timing
     generator: random.Random
     wall_ms: float
-    spread: Spread
+    sync: ConfigurationSync
     peers: list[str] = []
     cells: dict[str, CellView] = {}
     pending: dict[str, Pending] = {}
-    asked: dict[str, Asked] = {}
-    questioned: dict[str, Questioned] = {}
+    pending_queries: dict[str, PendingStateQuery] = {}
+    pending_explains: dict[str, PendingExplain] = {}
     attempt: int = 0
     stopping: bool = False
     held: dict[str, list[NodeStateCount]] = {}
@@ -170,7 +170,7 @@
     return max(pending.attempts, default=0)
 
 
-def outcome_unsent(minted: bool) -> Outcome:
+def outcome_if_unsent(minted: bool) -> Outcome:
     """Return what is true of a submission that this entry has sent to nobody.
 
     A caller's own key may have been submitted before, through another entry,
@@ -179,21 +179,21 @@
     return Outcome.NOT_RUN if minted else Outcome.UNKNOWN
 
 
-def no_owner(view: CellView) -> Refusal:
+def make_no_owner_refusal(view: CellView) -> Refusal:
     """Return the refusal of what has waited in vain for the owner of a cell."""
     return Refusal(
         RefusalCode.NO_OWNER,
-        f"cell {view.cell} has had no owner for {OWNER_AWAITED:.0f} s",
+        f"cell {view.cell} has had no owner for {MAX_OWNER_WAIT_SECONDS:.0f} s",
         RETRY_WITHOUT_OWNER_MS,
     )
 
 
-def age_ms(state: EntryState, job: Job, now: float) -> float:
+def key_age_ms(state: EntryState, job: Job, now: float) -> float:
     """Return how long ago a submission's key was born, by this wall clock."""
     return now * 1000 + state.wall_ms - job.created_ms
 
 
-def give_up(
+def refuse_pending(
     state: EntryState, pending: Pending, outcome: Outcome, refusal: Refusal
 ) -> None:
     """Answer all who wait, without the owner's word."""
--- a/src/cactuswalk/state/events.py
+++ b/src/cactuswalk/state/events.py
@@ -9,15 +9,15 @@
 
 __all__ = [
     "Announced",
-    "CallerAsked",
+    "CallerQueried",
     "CallerCancelled",
-    "CallerGone",
+    "CallerDisconnected",
     "CallerSubmitted",
     "ConfigurationChanged",
     "Event",
     "KeyRead",
     "KeySwapped",
-    "OperatorAsked",
+    "ExplainRequested",
     "Received",
     "StopRequested",
     "SwapOutcome",
@@ -64,7 +64,7 @@
     submission: str
 
 
-class CallerAsked(msgspec.Struct):
+class CallerQueried(msgspec.Struct):
     """A caller wants to know where a submission stands.
 
     :param request: names the question; the ``ReplyState`` repeats it.
@@ -76,14 +76,14 @@
     service: str = ""
 
 
-class OperatorAsked(msgspec.Struct):
+class ExplainRequested(msgspec.Struct):
     """An operator wants to know where a job could be placed."""
 
     request: str
     job: Job
 
 
-class CallerGone(msgspec.Struct):
+class CallerDisconnected(msgspec.Struct):
     """The caller's connection is closed; nobody waits at ``waiter`` now."""
 
     waiter: str
@@ -186,9 +186,9 @@
     | StopRequested
     | CallerSubmitted
     | CallerCancelled
-    | CallerAsked
-    | CallerGone
-    | OperatorAsked
+    | CallerQueried
+    | CallerDisconnected
+    | ExplainRequested
     | UpstreamAnswered
     | Announced
     | UsageReported
--- a/src/cactuswalk/state/flights.py
+++ b/src/cactuswalk/state/flights.py
@@ -22,7 +22,7 @@
 from cactuswalk.state.owner import OwnerState, Peer
 from cactuswalk.state.retention import newer
 
-__all__ = ["give_up_flights", "on_declined", "on_result", "on_running"]
+__all__ = ["abandon_flights", "on_declined", "on_result", "on_running"]
 
 
 def on_result(state: OwnerState, sender: str, message: Result, now: float) -> None:
@@ -38,15 +38,17 @@
             now,
             message.result.is_stopped_by_guard,
         )
-    _note_recovered(state, message, now)
+    _update_recovered(state, message, now)
     tracked = state.ledger.get(message.submission)
     if tracked is None or tracked.answer is not None:
         state.count("result.late")
         return
-    _settle(state, tracked, message.incarnation, message.attempt, message.result, now)
+    _record_end(
+        state, tracked, message.incarnation, message.attempt, message.result, now
+    )
 
 
-def _settle(
+def _record_end(
     state: OwnerState,
     tracked: Tracked,
     incarnation: str,
@@ -61,11 +63,11 @@
         state.count("result.stale")
         return
     if result.outcome is not TaskOutcome.DONE:
-        if attempts.fall_back(task, incarnation, attempt):
+        if attempts.fall_back_to_other(task, incarnation, attempt):
             return
-        if attempts.try_again(state, tracked, result, now):
+        if attempts.requeue_request(state, tracked, result, now):
             return
-    other = attempts.other_of(task, attempt)
+    other = attempts.find_other_attempt(task, attempt)
     if end_task(tracked, result):
         if other is not None:
             stop_attempt(state, tracked.job.submission, result.index, other, now)
@@ -87,14 +89,14 @@
         return
     del peer.flights[place]
     state.count("start.declined")
-    _note_declined(state, message, now)
+    _decline_recovered(state, message, now)
     tracked = state.ledger.get(message.submission)
     open_task = tracked is not None and tracked.answer is None
     lives = (message.incarnation, message.attempt)
     if (
         not open_task
         or not attempts.is_current(tracked.tasks[message.index], *lives)
-        or attempts.fall_back(tracked.tasks[message.index], *lives)
+        or attempts.fall_back_to_other(tracked.tasks[message.index], *lives)
     ):
         state.scheduler.record_result(*place, flight.worker, False, 0, now)
         return
@@ -117,7 +119,7 @@
     state.count("probe.running")
 
 
-def give_up_flights(state: OwnerState, peer: Peer, reason: str, now: float) -> None:
+def abandon_flights(state: OwnerState, peer: Peer, reason: str, now: float) -> None:
     """Settle what was placed at a member that is gone: nobody can tell of it."""
     for submission, index in list(peer.flights):
         flight = peer.flights.pop((submission, index))
@@ -132,10 +134,10 @@
             continue
         result = TaskResult(index, TaskOutcome.UNKNOWN, reason=reason)
         lives = (peer.member.incarnation, flight.attempt)
-        _settle(state, tracked, *lives, result, now)
+        _record_end(state, tracked, *lives, result, now)
 
 
-def _note_recovered(state: OwnerState, message: Result, now: float) -> None:
+def _update_recovered(state: OwnerState, message: Result, now: float) -> None:
     """Bring a recovered record up to date, for a later resubmission."""
     record = state.recovered.get(message.submission, message.index)
     if record is None or record.attempt != message.attempt:
@@ -155,7 +157,7 @@
     state.recovered.put(newer(record, ended), now)
 
 
-def _note_declined(state: OwnerState, message: Declined, now: float) -> None:
+def _decline_recovered(state: OwnerState, message: Declined, now: float) -> None:
     """Take back a recovered record of an attempt that never started.
 
     A witness keeps a record of a start that its owner may not have sent any
--- a/src/cactuswalk/state/gate.py
+++ b/src/cactuswalk/state/gate.py
@@ -13,7 +13,7 @@
 from cactuswalk.model import Member, TaskState
 from cactuswalk.state.retention import RecordBook
 
-__all__ = ["Gate", "Verdict", "check_start", "tombstone"]
+__all__ = ["Gate", "StartDecision", "check_start", "record_decline"]
 
 
 class Gate(msgspec.Struct):
@@ -35,19 +35,19 @@
     stopping: bool = False
 
 
-class Verdict(msgspec.Struct):
+class StartDecision(msgspec.Struct):
     """Whether a start may pass.
 
     :param repeat: the start is a copy of one that has passed; say nothing new.
     :param reason: why it is declined, empty if it passes.
     """
 
-    passes: bool
-    repeat: bool = False
+    is_allowed: bool
+    is_duplicate: bool = False
     reason: str = ""
 
 
-def take_epoch(gate: Gate, epoch: int, owner: Member) -> bool:
+def accept_epoch(gate: Gate, epoch: int, owner: Member) -> bool:
     """Take note of an owner's epoch; tell whether it is the one in force.
 
     :raises InvariantError: if one epoch has two owners.
@@ -66,32 +66,34 @@
     return True
 
 
-def check_start(gate: Gate, start: Start, now: float) -> Verdict:
+def check_start(gate: Gate, start: Start, now: float) -> StartDecision:
     """Decide on a start, without changing anything."""
     if start.incarnation != gate.member.incarnation:
-        return Verdict(False, reason="meant for another life of this agent")
+        return StartDecision(False, reason="meant for another life of this agent")
     if start.epoch != gate.epoch:
-        return Verdict(False, reason=f"epoch {start.epoch}, in force {gate.epoch}")
+        return StartDecision(
+            False, reason=f"epoch {start.epoch}, in force {gate.epoch}"
+        )
     record = gate.records.get(start.submission, start.index)
     if record is not None and not _may_follow(record, start):
-        repeat = record.state is not TaskState.DECLINED
-        return Verdict(False, repeat=repeat, reason="declined before")
+        is_duplicate = record.state is not TaskState.DECLINED
+        return StartDecision(False, is_duplicate=is_duplicate, reason="declined before")
     return _check_circumstances(gate, start, now)
 
 
-def _check_circumstances(gate: Gate, start: Start, now: float) -> Verdict:
+def _check_circumstances(gate: Gate, start: Start, now: float) -> StartDecision:
     age_ms = now * 1000 - start.stamp
     if age_ms > gate.confirm * 1000:
-        return Verdict(False, reason=f"stamp is {age_ms:.0f} ms old")
+        return StartDecision(False, reason=f"stamp is {age_ms:.0f} ms old")
     if age_ms >= start.remaining_ms:
-        return Verdict(False, reason="the deadline has passed")
+        return StartDecision(False, reason="the deadline has passed")
     if gate.stopping:
-        return Verdict(False, reason="this agent is stopping")
+        return StartDecision(False, reason="this agent is stopping")
     if len(gate.running) >= gate.slots:
-        return Verdict(False, reason=f"all {gate.slots} slots are taken")
+        return StartDecision(False, reason=f"all {gate.slots} slots are taken")
     if not gate.records.has_room():
-        return Verdict(False, reason="no room for another record")
-    return Verdict(True)
+        return StartDecision(False, reason="no room for another record")
+    return StartDecision(True)
 
 
 def _may_follow(record: Record, start: Start) -> bool:
@@ -120,7 +122,7 @@
     gate.records.put(_record_of(gate, start, TaskState.RUNNING), now)
 
 
-def tombstone(gate: Gate, start: Start, now: float) -> None:
+def record_decline(gate: Gate, start: Start, now: float) -> None:
     """Make sure that a declined attempt never starts here.
 
     Without it, a repeated copy of the declined start could pass a moment later,
--- a/src/cactuswalk/state/guarding.py
+++ b/src/cactuswalk/state/guarding.py
@@ -14,16 +14,16 @@
 from cactuswalk.messages import Start
 from cactuswalk.model import Capacity
 from cactuswalk.state.effects import (
+    ControlUpstream,
     Count,
     Effect,
     Log,
     Part,
-    SteerUpstream,
     StopUpstream,
 )
 from cactuswalk.state.events import TaskUsage
 
-__all__ = ["Guard", "Guarded", "on_reported", "unwatch", "watch"]
+__all__ = ["Guard", "GuardedTask", "on_usage_report", "add_task", "remove_task"]
 
 # A throttled task gets half of the processor time: it grows half as fast, and its
 # caller, whose deadline is a few run times away, may still get an answer.
@@ -36,10 +36,10 @@
 
 # An upstream that was asked this often to save a task, and still reports its memory,
 # does not save it.
-MOST_CHECKPOINTS = 2
+MAX_CHECKPOINTS = 2
 
 
-class Guarded(msgspec.Struct):
+class GuardedTask(msgspec.Struct):
     """A task that runs here, as its caller declared it, and what was done to it.
 
     :param checkpoints: how often its upstream was asked to save it.
@@ -59,23 +59,23 @@
 class Guard(msgspec.Struct):
     """What the guard of one agent knows, by (submission, index)."""
 
-    tasks: dict[tuple[str, int], Guarded] = {}
+    tasks: dict[tuple[str, int], GuardedTask] = {}
 
 
-def watch(guard: Guard, start: Start) -> None:
+def add_task(guard: Guard, start: Start) -> None:
     """Take note of a task that starts here."""
-    guard.tasks[start.submission, start.index] = Guarded(
+    guard.tasks[start.submission, start.index] = GuardedTask(
         start.attempt, start.task.memory_mb, start.idempotent
     )
 
 
-def unwatch(guard: Guard, submission: str, index: int) -> str:
+def remove_task(guard: Guard, submission: str, index: int) -> str:
     """Forget a task that has ended; return why it was stopped, empty if it wasn't."""
     task = guard.tasks.pop((submission, index), None)
     return task.reason if task is not None else ""
 
 
-def on_reported(
+def on_usage_report(
     guard: Guard, usages: list[TaskUsage], capacity: Capacity, worker: str, now: float
 ) -> list[Effect]:
     """Judge a report of what the tasks here use; return what is to be done.
@@ -91,24 +91,24 @@
     effects: list[Effect] = []
     if stale := len(usages) - len(places):
         effects.append(Count("agent.usage.stale", stale))
-    judged = [_as_judged(name, *place) for name, place in places.items()]
+    judged = [_to_usage(name, *place) for name, place in places.items()]
     actions = choose_guard_actions(judged, capacity.memory_mb, capacity.slots)
     for name, (usage, task) in places.items():
         action = actions.get(name, GuardAction.NONE)
-        effects += _act(guard, action, usage, task, worker, now)
+        effects += _apply_action(guard, action, usage, task, worker, now)
     return effects
 
 
-def _as_judged(name: str, usage: TaskUsage, task: Guarded) -> Usage:
-    saves = usage.checkpoints and task.checkpoints < MOST_CHECKPOINTS
+def _to_usage(name: str, usage: TaskUsage, task: GuardedTask) -> Usage:
+    saves = usage.checkpoints and task.checkpoints < MAX_CHECKPOINTS
     return Usage(name, task.declared_mb, usage.used_mb, task.repeatable, saves)
 
 
-def _act(
+def _apply_action(
     guard: Guard,
     action: GuardAction,
     usage: TaskUsage,
-    task: Guarded,
+    task: GuardedTask,
     worker: str,
     now: float,
 ) -> list[Effect]:
@@ -126,12 +126,12 @@
         effect = StopUpstream(*place)
     elif action is GuardAction.CHECKPOINT:
         task.checkpoints += 1
-        effect = SteerUpstream(*place, action)
+        effect = ControlUpstream(*place, action)
     else:
         # Sent again with each report while it holds: the last one may be lost.
         task.throttled = action is GuardAction.THROTTLE
         factor = THROTTLE_FACTOR if task.throttled else 1.0
-        effect = SteerUpstream(*place, GuardAction.THROTTLE, factor)
+        effect = ControlUpstream(*place, GuardAction.THROTTLE, factor)
     done = "lift" if action is GuardAction.NONE else action.value
     fields = {
         "action": done,
@@ -146,7 +146,7 @@
     return [Count(f"agent.guard.{done}"), log, effect]
 
 
-def _settles(other: Guarded, task: Guarded, now: float) -> bool:
+def _settles(other: GuardedTask, task: GuardedTask, now: float) -> bool:
     """Return whether another task was stopped and may not yet be gone."""
     if other is task or other.stopped_at is None:
         return False
--- a/src/cactuswalk/state/inquiries.py
+++ b/src/cactuswalk/state/inquiries.py
@@ -4,7 +4,7 @@
 
 from cactuswalk.messages import Explain, Explanation, JobState, Query, Verdict
 from cactuswalk.model import Job, Outcome, TaskState
-from cactuswalk.state.answers import find
+from cactuswalk.state.answers import find_submission
 from cactuswalk.state.ledger import (
     Place,
     Stage,
@@ -18,14 +18,14 @@
 )
 from cactuswalk.state.owner import OwnerState, Phase
 
-__all__ = ["job_state", "on_explain", "on_query"]
+__all__ = ["make_job_state", "on_explain", "on_query"]
 
 
 def on_query(state: OwnerState, sender: str, query: Query, now: float) -> None:
     """An entry asks where a submission stands."""
     if state.phase is Phase.RECOVERING:
         return
-    state.send(sender, job_state(state, query, sender))
+    state.send(sender, make_job_state(state, query, sender))
 
 
 def on_explain(state: OwnerState, sender: str, explain: Explain, now: float) -> None:
@@ -35,9 +35,9 @@
     state.send(sender, Explanation(explain.request, state.cell, verdicts))
 
 
-def job_state(state: OwnerState, query: Query, sender: str) -> JobState:
+def make_job_state(state: OwnerState, query: Query, sender: str) -> JobState:
     """Return where a submission stands, from the ledger or from records."""
-    tracked = find(state, query.submission)
+    tracked = find_submission(state, query.submission)
     if tracked is None:
         tracked = _from_records(state, query.submission)
     if tracked is None or _is_ahead(tracked, query, sender):
--- a/src/cactuswalk/state/node.py
+++ b/src/cactuswalk/state/node.py
@@ -190,23 +190,23 @@
         if node.owner is not None:
             _TO_OWNER[kind](node.owner, event.sender, message, now)
         else:
-            _say_not_owner(node, event)
+            _reply_not_owner(node, event)
 
 
 def _on_offer(node: Node, sender: str, offer: ConfigurationOffer, now: float) -> None:
-    spreading.on_offer(node.agent.spread, node.agent, sender, offer, now)
+    spreading.on_offer(node.agent.sync, node.agent, sender, offer, now)
 
 
 def _on_request(
     node: Node, sender: str, request: ConfigurationRequest, now: float
 ) -> None:
-    spreading.on_request(node.agent.spread, node.agent, sender, request)
+    spreading.on_request(node.agent.sync, node.agent, sender, request)
 
 
 def _on_update(
     node: Node, sender: str, update: ConfigurationUpdate, now: float
 ) -> None:
-    spreading.on_update(node.agent.spread, node.agent, node.owner, sender, update, now)
+    spreading.on_update(node.agent.sync, node.agent, node.owner, sender, update, now)
 
 
 _ON_CONFIGURATION: dict[type, Callable] = {
@@ -216,7 +216,7 @@
 }
 
 
-def _say_not_owner(node: Node, event: Received) -> None:
+def _reply_not_owner(node: Node, event: Received) -> None:
     """Tell who owns the cell, as far as this agent knows; nothing was done."""
     message = event.message
     if not isinstance(message, Submit | Subscribe | Cancel | Query):
@@ -300,7 +300,7 @@
         node.generator,
         node.agent,
         node.make_scheduler(),
-        node.agent.spread,
+        node.agent.sync,
         # Bounded by what the agents hand out, which is some seconds' worth.
         RecordBook(node.timing.retention, sys.maxsize),
         maximum_bytes=node.ledger_bytes,
@@ -331,7 +331,7 @@
 def _on_tick(node: Node, now: float) -> None:
     node.agent.gate.records.expire(now)
     node.agent.copies.expire(now)
-    node.agent.effects += node.agent.spread.tick(now)
+    node.agent.effects += node.agent.sync.tick(now)
     if node.owner is not None:
         _tick_owner(node.owner, now)
     else:
@@ -351,5 +351,5 @@
     placing.withdraw_unwitnessed(owner, now)
     submissions.expire_ledger(owner, now)
     placing.dispatch(owner, now)
-    reporting.report(owner, now)
+    reporting.send_reports(owner, now)
     owner.recovered.expire(now)
--- a/src/cactuswalk/state/nodestate.py
+++ b/src/cactuswalk/state/nodestate.py
@@ -13,7 +13,7 @@
     candidate as candidates,
 )
 from cactuswalk.state.candidate import CandidateState
-from cactuswalk.state.configuration import Replica, Spread
+from cactuswalk.state.configuration import ConfigurationSync, Replica
 from cactuswalk.state.gate import Gate
 from cactuswalk.state.owner import OwnerState
 from cactuswalk.state.retention import RecordBook
@@ -24,7 +24,7 @@
 RECORDS_SHARE = 1 / 2
 LEDGER_SHARE = 1 / 4
 # Copies are kept for two spans of what a new owner looks back.
-COPIES_SPANS = 2
+COPY_LOOKBACK_FACTOR = 2
 
 
 __all__ = ["Node", "new_node"]
@@ -80,9 +80,14 @@
     records = RecordBook(timing.retention, int(maximum_bytes * RECORDS_SHARE))
     # Copies serve a takeover only, which looks back this far; dropped earlier for
     # want of room they would make a new owner take young keys for old ones.
-    copies = RecordBook(min(COPIES_SPANS * timing.reach, timing.retention), sys.maxsize)
+    copies = RecordBook(
+        min(COPY_LOOKBACK_FACTOR * timing.takeover_lookback, timing.retention),
+        sys.maxsize,
+    )
     gate = Gate(member, records, timing.confirm)
-    agent = agents.new_agent(cell, gate, copies, Spread(Replica()), timing.reach, now)
+    agent = agents.new_agent(
+        cell, gate, copies, ConfigurationSync(Replica()), timing.takeover_lookback, now
+    )
     candidate = candidates.new_candidate(cell, agent, timing, generator, list(entries))
     return Node(
         cell,
--- a/src/cactuswalk/state/owner.py
+++ b/src/cactuswalk/state/owner.py
@@ -17,7 +17,7 @@
 from cactuswalk.model import Announcement, CellRecord, Member
 from cactuswalk.state.agent import AgentState
 from cactuswalk.state.answered import Answered
-from cactuswalk.state.configuration import Spread
+from cactuswalk.state.configuration import ConfigurationSync
 from cactuswalk.state.effects import Count, Effect, Log, Part, Send
 from cactuswalk.state.ledger import Place, Tracked
 from cactuswalk.state.retention import RecordBook
@@ -160,7 +160,7 @@
     :param open: the submissions that are not answered yet, in order.
     :param ledger: those, by name; ``answered`` are the others.
     :param kept: answered ones, in the order in which they are forgotten.
-    :param spread: this process's copy of the configuration.
+    :param sync: this process's copy of the configuration.
     :param hedged_services: whose operators want stragglers overtaken.
     :param quota_teams: teams that the scheduler was given a quota for.
     :param recovered: records collected at the takeover and ended since.
@@ -196,7 +196,7 @@
     generator: random.Random
     agent: AgentState
     scheduler: Scheduler
-    spread: Spread
+    sync: ConfigurationSync
     recovered: RecordBook
     phase: Phase = Phase.RECOVERING
     peers: dict[str, Peer] = {}
--- a/src/cactuswalk/state/peers.py
+++ b/src/cactuswalk/state/peers.py
@@ -4,7 +4,7 @@
 
 from cactuswalk.messages import Fence, Ping, Pong
 from cactuswalk.model import Member
-from cactuswalk.state.flights import give_up_flights
+from cactuswalk.state.flights import abandon_flights
 from cactuswalk.state.landing import probe
 from cactuswalk.state.owner import OwnerState, Peer, Phase
 from cactuswalk.state.placing import dispatch
@@ -37,7 +37,7 @@
     for peer in due:
         _ask(state, peer, now)
     addresses = [peer.member.address for peer in due]
-    state.effects += state.spread.alongside(addresses)
+    state.effects += state.sync.offers_if_ahead(addresses)
 
 
 def _is_due(state: OwnerState, peer: Peer, now: float) -> bool:
@@ -56,7 +56,7 @@
     has_news = (
         peer.roster_known != state.record.write_id
         or peer.configuration != state.agent.configuration
-        or state.spread.replica.ahead
+        or state.sync.replica.ahead
     )
     return since >= (state.timing.ping if has_news else 2 * state.timing.ping)
 
@@ -135,7 +135,9 @@
     peer.stamp, peer.stamp_at = pong.stamp, now
     peer.ready = pong.ready
     peer.configuration, peer.ahead = pong.configuration, pong.ahead
-    state.effects += state.spread.heard(sender, pong.configuration, now, pong.ahead)
+    state.effects += state.sync.request_if_behind(
+        sender, pong.configuration, now, pong.ahead
+    )
     _probe_missing(state, peer, pong, now)
     dispatch(state, now, peer)
 
@@ -164,7 +166,7 @@
     for peer in list(state.peers.values()):
         if is_lost(state, peer, now) and peer.flights:
             state.log("lost a worker", worker=peer.member.worker)
-            give_up_flights(state, peer, "it was sent to a worker that was lost", now)
+            abandon_flights(state, peer, "it was sent to a worker that was lost", now)
 
 
 def is_lost(state: OwnerState, peer: Peer, now: float) -> bool:
--- a/src/cactuswalk/state/placing.py
+++ b/src/cactuswalk/state/placing.py
@@ -43,7 +43,7 @@
                 begin_ending(state, tracked, decision.refusal, now)
             continue
         _place(state, decision, now)
-    attempts.hedge(state, now, send_start)
+    attempts.start_hedges(state, now, send_start)
 
 
 def refresh_workers(state: OwnerState, now: float, heard: Peer | None = None) -> None:
--- a/src/cactuswalk/state/questions.py
+++ b/src/cactuswalk/state/questions.py
@@ -2,15 +2,15 @@
 
 from cactuswalk.messages import Explain, Explanation, JobState, Query
 from cactuswalk.state.effects import ReplyExplanation, ReplyState, Send
-from cactuswalk.state.entryview import Asked, EntryState, Questioned
-from cactuswalk.state.events import CallerAsked, OperatorAsked
+from cactuswalk.state.entryview import EntryState, PendingExplain, PendingStateQuery
+from cactuswalk.state.events import CallerQueried, ExplainRequested
 
 __all__ = [
-    "expire_questions",
-    "on_asked_state",
-    "on_caller_asked",
+    "expire_requests",
+    "on_requested_state",
+    "on_caller_queried",
     "on_explained",
-    "on_operator_asked",
+    "on_explain_requested",
 ]
 
 
@@ -23,36 +23,40 @@
     )
 
 
-def on_caller_asked(state: EntryState, event: CallerAsked, now: float) -> None:
+def on_caller_queried(state: EntryState, event: CallerQueried, now: float) -> None:
     """Ask the owners of the cells where the submission may be."""
     owners = _owners(state, event.service)
     if not owners:
         state.effects.append(ReplyState(event.request, None))
         return
-    state.asked[event.request] = Asked(now + state.timing.query, len(owners))
+    state.pending_queries[event.request] = PendingStateQuery(
+        now + state.timing.query, len(owners)
+    )
     for owner in owners:
         state.effects.append(Send(owner, Query(event.submission, event.request)))
 
 
-def on_asked_state(state: EntryState, message: JobState) -> None:
+def on_requested_state(state: EntryState, message: JobState) -> None:
     """Tell a caller who asked where a submission stands."""
-    asked = state.asked.get(message.request)
+    asked = state.pending_queries.get(message.request)
     if asked is None:
         return
     asked.owners -= 1
     if message.known or asked.owners == 0:
-        del state.asked[message.request]
+        del state.pending_queries[message.request]
         state.effects.append(ReplyState(message.request, message))
 
 
-def on_operator_asked(state: EntryState, event: OperatorAsked, now: float) -> None:
+def on_explain_requested(
+    state: EntryState, event: ExplainRequested, now: float
+) -> None:
     """Ask the owners where a job could be placed."""
     owners = _owners(state, event.job.service)
     if not owners:
         state.effects.append(ReplyExplanation(event.request, []))
         return
     until = now + state.timing.query
-    state.questioned[event.request] = Questioned(until, len(owners))
+    state.pending_explains[event.request] = PendingExplain(until, len(owners))
     for owner in owners:
         state.effects.append(Send(owner, Explain(event.request, event.job)))
 
@@ -61,22 +65,24 @@
     state: EntryState, sender: str, message: Explanation, now: float
 ) -> None:
     """Gather the owners' words; the last one completes the answer."""
-    asked = state.questioned.get(message.request)
+    asked = state.pending_explains.get(message.request)
     if asked is None:
         return
     asked.cells.append(message)
     asked.owners -= 1
     if asked.owners == 0:
-        del state.questioned[message.request]
+        del state.pending_explains[message.request]
         state.effects.append(ReplyExplanation(message.request, asked.cells))
 
 
-def expire_questions(state: EntryState, now: float) -> None:
+def expire_requests(state: EntryState, now: float) -> None:
     """Answer with what has come where an owner stays silent."""
-    for request in [key for key, asked in state.asked.items() if asked.until <= now]:
-        del state.asked[request]
+    for request in [
+        key for key, asked in state.pending_queries.items() if asked.until <= now
+    ]:
+        del state.pending_queries[request]
         state.effects.append(ReplyState(request, None))
-    for request, asked in list(state.questioned.items()):
+    for request, asked in list(state.pending_explains.items()):
         if asked.until <= now:
-            del state.questioned[request]
+            del state.pending_explains[request]
             state.effects.append(ReplyExplanation(request, asked.cells))
--- a/src/cactuswalk/state/readiness.py
+++ b/src/cactuswalk/state/readiness.py
@@ -3,10 +3,10 @@
 from cactuswalk.state.entryview import EntryState
 from cactuswalk.state.listening import is_silent
 
-__all__ = ["reasons_against"]
+__all__ = ["unready_reasons"]
 
 
-def reasons_against(state: EntryState, now: float) -> list[str]:
+def unready_reasons(state: EntryState, now: float) -> list[str]:
     """Return why this entry should not be given work; nothing if it should.
 
     A cell that has just begun refuses the keys that callers chose for some seconds,
@@ -20,7 +20,7 @@
     serving = [view for view in heard if view.services]
     if not serving:
         return ["no cell has a worker that has announced its service"]
-    if all(view.takes_keys_at > now for view in serving):
-        wait = min(view.takes_keys_at for view in serving) - now
+    if all(view.accepts_keys_at > now for view in serving):
+        wait = min(view.accepts_keys_at for view in serving) - now
         return [f"each cell has just begun; callers' keys are taken in {wait:.1f} s"]
     return []
--- a/src/cactuswalk/state/reporting.py
+++ b/src/cactuswalk/state/reporting.py
@@ -9,18 +9,18 @@
 
 from cactuswalk.messages import CellReport, Subscribe
 from cactuswalk.messages.configuration import ConfigurationOffer
-from cactuswalk.state.agent import stamp_of
+from cactuswalk.state.agent import make_stamp
 from cactuswalk.state.owner import EntryView, OwnerState, Phase
-from cactuswalk.state.spreading import offer_of
+from cactuswalk.state.spreading import make_offer
 
-__all__ = ["on_subscribe", "report"]
+__all__ = ["on_subscribe", "send_reports"]
 
 # An entry that has not asked for this long is gone: three times the slowest
 # pace at which one asks.
-ENTRY_FORGOTTEN_AFTER = 30.0
+ENTRY_LAPSE_SECONDS = 30.0
 # While a change is on its way through the cell, its entries are told how far it
 # has come no more often than this; they are told at once when all nodes have it.
-UNSETTLED_NEWS_AFTER = 1.0
+PARTIAL_REPORT_INTERVAL_SECONDS = 1.0
 
 
 def on_subscribe(
@@ -33,25 +33,25 @@
     # What the entry says goes before what it was sent: that may have been lost.
     view.serial = subscribe.serial if same_owner else -1
     if state.phase is Phase.SERVING:
-        _tell(state, sender, view, offer_of(state, state.spread), now)
+        _tell(state, sender, view, make_offer(state, state.sync), now)
 
 
-def report(state: OwnerState, now: float) -> None:
+def send_reports(state: OwnerState, now: float) -> None:
     """Look for news once a report period, and tell it to the entries."""
     if state.phase is not Phase.SERVING:
         return
     if now - state.reported_at < state.timing.report:
         return
     state.reported_at = now
-    offer = offer_of(state, state.spread)
+    offer = make_offer(state, state.sync)
     for address, view in list(state.entries.items()):
-        if now - view.subscribed_at > ENTRY_FORGOTTEN_AFTER:
+        if now - view.subscribed_at > ENTRY_LAPSE_SECONDS:
             del state.entries[address]
-        elif _has_news(state, view, offer, now):
+        elif _must_report(state, view, offer, now):
             _tell(state, address, view, offer, now)
 
 
-def _has_news(
+def _must_report(
     state: OwnerState, view: EntryView, offer: ConfigurationOffer, now: float
 ) -> bool:
     """Tell whether something that an entry decides by, or waits for, has changed.
@@ -62,7 +62,7 @@
     if view.serial != state.workers_serial:
         return True
     settled = len(offer.held) == 1
-    due = settled or now - view.told_at >= UNSETTLED_NEWS_AFTER
+    due = settled or now - view.told_at >= PARTIAL_REPORT_INTERVAL_SECONDS
     return view.held != offer.held and due
 
 
@@ -89,14 +89,14 @@
             state.scheduler.count_queued(),
             workers,
             ConfigurationOffer(offer.revision, offer.ahead, "", offer.held),
-            stamp_of(now),
+            make_stamp(now),
             len(state.entries),
-            _young_ms(state, now),
+            _key_refusal_ms(state, now),
         ),
     )
 
 
-def _young_ms(state: OwnerState, now: float) -> int:
+def _key_refusal_ms(state: OwnerState, now: float) -> int:
     """Return for how long still callers' own keys may be taken for keys of before."""
     margin = state.timing.clock_margin + state.timing.entry_margin
     left = state.founded_at + margin - now
--- a/src/cactuswalk/state/roster.py
+++ b/src/cactuswalk/state/roster.py
@@ -20,15 +20,15 @@
 from cactuswalk.model.cell import cell_key
 from cactuswalk.state import sharing
 from cactuswalk.state.answered import unpack
-from cactuswalk.state.copying import RECORDS_A_PART
+from cactuswalk.state.copying import MAX_RECORDS_PER_PART
 from cactuswalk.state.effects import ReadKey, SwapKey
 from cactuswalk.state.events import KeyRead, KeySwapped, SwapOutcome
-from cactuswalk.state.flights import give_up_flights
+from cactuswalk.state.flights import abandon_flights
 from cactuswalk.state.landing import record_of
 from cactuswalk.state.ledger import Tracked
 from cactuswalk.state.owner import OwnerState, Peer, Phase
 from cactuswalk.state.peers import is_lost, send_fence, send_ping
-from cactuswalk.state.spreading import apply_all, apply_worker
+from cactuswalk.state.spreading import apply_configuration, apply_worker
 
 __all__ = [
     "cell_key",
@@ -67,9 +67,9 @@
         return
     peer.announcement = announcement
     peer.usable = False
-    apply_worker(state, state.spread, peer, now)
+    apply_worker(state, state.sync, peer, now)
     if known is None or known.service != announcement.service:
-        apply_all(state, state.spread, now)
+        apply_configuration(state, state.sync, now)
     state.log("took an announcement", worker=announcement.worker)
 
 
@@ -258,7 +258,7 @@
     peer = state.peers.get(member.incarnation)
     if peer is None:
         return
-    give_up_flights(state, peer, "it was sent to a worker that was lost", now)
+    abandon_flights(state, peer, "it was sent to a worker that was lost", now)
     del state.peers[member.incarnation]
     if peer.leaving:
         # The last ping tells a stopping agent that it may go.
@@ -322,14 +322,14 @@
     state.backup_again_at = now + state.timing.confirm
     state.backup_covers = list(state.record.departed)
     state.backup_tokens = set()
-    for first in range(0, max(len(records), 1), RECORDS_A_PART):
+    for first in range(0, max(len(records), 1), MAX_RECORDS_PER_PART):
         token = f"{state.backup_serial}.{first}"
         state.backup_tokens.add(token)
         adopt = ReplicateRecords(
             state.cell,
             state.record.epoch,
             token,
-            records[first : first + RECORDS_A_PART],
+            records[first : first + MAX_RECORDS_PER_PART],
         )
         state.send(backup.address, adopt)
 
@@ -351,7 +351,7 @@
     owner knows them from the takeover and from what it sent there itself.
     """
     elsewhere = set(state.peers) - {state.member.incarnation}
-    since = now - state.timing.reach
+    since = now - state.timing.takeover_lookback
     found = state.agent.gate.records.changed_since(since)
     found += state.agent.copies.changed_since(since)
     found += state.recovered.changed_since(since)
--- a/src/cactuswalk/state/spreading.py
+++ b/src/cactuswalk/state/spreading.py
@@ -11,14 +11,18 @@
 )
 from cactuswalk.model.configuration import Team
 from cactuswalk.state.agent import AgentState
-from cactuswalk.state.configuration import Spread, fold, view_worker
+from cactuswalk.state.configuration import (
+    ConfigurationSync,
+    count_by_state,
+    view_worker,
+)
 from cactuswalk.state.effects import Count, Log, Part, Send
 from cactuswalk.state.owner import OwnerState, Peer
 
 __all__ = [
-    "apply_all",
+    "apply_configuration",
     "apply_worker",
-    "offer_of",
+    "make_offer",
     "on_offer",
     "on_request",
     "on_update",
@@ -26,25 +30,28 @@
 
 
 def on_offer(
-    spread: Spread,
+    sync: ConfigurationSync,
     agent: AgentState,
     sender: str,
     offer: ConfigurationOffer,
     now: float,
 ) -> None:
     """Another node says what it holds."""
-    agent.effects += spread.offered(sender, offer, now)
+    agent.effects += sync.on_offer(sender, offer, now)
 
 
 def on_request(
-    spread: Spread, agent: AgentState, sender: str, request: ConfigurationRequest
+    sync: ConfigurationSync,
+    agent: AgentState,
+    sender: str,
+    request: ConfigurationRequest,
 ) -> None:
     """Another node asks for what it lacks."""
-    agent.effects += spread.requested(sender, request)
+    agent.effects += sync.on_request(sender, request)
 
 
 def on_update(
-    spread: Spread,
+    sync: ConfigurationSync,
     agent: AgentState,
     owner: OwnerState | None,
     sender: str,
@@ -52,16 +59,16 @@
     now: float,
 ) -> None:
     """Changes have come: put them in force, and pass them on as the owner."""
-    before = spread.replica.revision
-    applied, requests = spread.updated(sender, update, now)
+    before = sync.replica.revision
+    applied, requests = sync.on_update(sender, update, now)
     agent.effects += requests
-    agent.configuration = spread.replica.revision
+    agent.configuration = sync.replica.revision
     if applied.refused:
         agent.effects.append(Count("configuration.refused", applied.refused))
     if not applied.objects:
         return
     keys = [stored.key for stored in applied.objects]
-    fields = {"revision": spread.replica.revision, "keys": keys[:20]}
+    fields = {"revision": sync.replica.revision, "keys": keys[:20]}
     agent.effects.append(
         Log(Part.CONFIGURATION, "put changes in force", fields | {"count": len(keys)})
     )
@@ -72,28 +79,28 @@
         for peer in owner.peers.values()
         if peer.member != owner.member
     ]
-    agent.effects += spread.updates(before, others)
-    apply_all(owner, spread, now)
-    offer_to_entries(owner, spread)
+    agent.effects += sync.make_updates(before, others)
+    apply_configuration(owner, sync, now)
+    offer_to_entries(owner, sync)
 
 
-def apply_all(owner: OwnerState, spread: Spread, now: float) -> None:
+def apply_configuration(owner: OwnerState, sync: ConfigurationSync, now: float) -> None:
     """Bring the scheduler to the configuration in force.
 
     The whole of it each time: it is some hundred objects, changes are rare, and
     nothing is left over from an object that was deleted.
     """
     for peer in owner.peers.values():
-        apply_worker(owner, spread, peer, now)
+        apply_worker(owner, sync, peer, now)
     services = {
         peer.announcement.service
         for peer in owner.peers.values()
         if peer.announcement is not None
     }
     owner.hedged_services = frozenset(
-        one.name for one in spread.replica.select("service") if one.hedge
+        one.name for one in sync.replica.select("service") if one.hedge
     )
-    teams = {one.name: one for one in spread.replica.select("team")}
+    teams = {one.name: one for one in sync.replica.select("team")}
     for name in owner.quota_teams - teams.keys():
         teams[name] = Team(name=name)
     for service in services:
@@ -104,11 +111,13 @@
     owner.quota_teams = set(teams)
 
 
-def apply_worker(owner: OwnerState, spread: Spread, peer: Peer, now: float) -> None:
+def apply_worker(
+    owner: OwnerState, sync: ConfigurationSync, peer: Peer, now: float
+) -> None:
     """Bring what the scheduler knows of one worker to what is in force."""
     if peer.announcement is None:
         return
-    view = view_worker(spread.replica, peer.announcement)
+    view = view_worker(sync.replica, peer.announcement)
     if view.announcement != peer.in_force:
         peer.in_force = view.announcement
         owner.workers_serial += 1
@@ -118,9 +127,9 @@
     owner.scheduler.set_drained(peer.announcement.worker, gets_nothing, now)
 
 
-def offer_of(owner: OwnerState, spread: Spread) -> ConfigurationOffer:
+def make_offer(owner: OwnerState, sync: ConfigurationSync) -> ConfigurationOffer:
     """Return what the nodes of this cell hold, for its entries."""
-    replica = spread.replica
+    replica = sync.replica
     states = [(replica.revision, replica.ahead)]
     states += [
         (peer.configuration, peer.ahead)
@@ -128,11 +137,11 @@
         if peer.member != owner.member
     ]
     return ConfigurationOffer(
-        replica.revision, sorted(replica.ahead), owner.cell, fold(states)
+        replica.revision, sorted(replica.ahead), owner.cell, count_by_state(states)
     )
 
 
-def offer_to_entries(owner: OwnerState, spread: Spread) -> None:
+def offer_to_entries(owner: OwnerState, sync: ConfigurationSync) -> None:
     """Tell the entries at once; the next report would do it too."""
-    offer = offer_of(owner, spread)
+    offer = make_offer(owner, sync)
     owner.effects += [Send(address, offer) for address in owner.entries]
--- a/src/cactuswalk/state/submissions.py
+++ b/src/cactuswalk/state/submissions.py
@@ -17,15 +17,15 @@
     TaskState,
 )
 from cactuswalk.state.answers import (
-    find,
-    forget_oldest,
+    evict_oldest,
+    find_submission,
     give_answer,
-    keep,
-    refuse,
+    refuse_submission,
     send_answer,
+    update_answered,
 )
 from cactuswalk.state.ending import begin_ending
-from cactuswalk.state.inquiries import job_state
+from cactuswalk.state.inquiries import make_job_state
 from cactuswalk.state.ledger import (
     Stage,
     Task,
@@ -75,7 +75,7 @@
 
 def _take(state: OwnerState, held: Held, now: float) -> None:
     submit, job = held.submit, held.submit.job
-    tracked = find(state, job.submission)
+    tracked = find_submission(state, job.submission)
     if tracked is not None and not _is_new_try(tracked, held):
         _join(state, tracked, held, now)
         return
@@ -97,13 +97,13 @@
         return
     state.sharing.latest_birth_ms = max(state.sharing.latest_birth_ms, job.created_ms)
     if tracked is None and _is_too_old(state, submit, now):
-        refuse(state, held.sender, submit, TOO_OLD, Outcome.UNKNOWN, now)
+        refuse_submission(state, held.sender, submit, TOO_OLD, Outcome.UNKNOWN, now)
         return
     refusal = _refusal_before(state, held, now)
     if refusal is not None:
         certain = refusal is KEY_REUSED or state.is_confirmed(now)
         outcome = Outcome.NOT_RUN if certain else Outcome.UNKNOWN
-        refuse(state, held.sender, submit, refusal, outcome, now)
+        refuse_submission(state, held.sender, submit, refusal, outcome, now)
         return
     _track(state, held, now)
 
@@ -124,14 +124,14 @@
 def _join(state: OwnerState, tracked: Tracked, held: Held, now: float) -> None:
     submit = held.submit
     if tracked.job.fingerprint != submit.job.fingerprint:
-        refuse(state, held.sender, submit, KEY_REUSED, Outcome.NOT_RUN, now)
+        refuse_submission(state, held.sender, submit, KEY_REUSED, Outcome.NOT_RUN, now)
         return
     state.count("submit.joined")
     if not is_past_try(tracked, held.sender, submit.attempt):
         tracked.waiters[held.sender] = submit.attempt
     if tracked.answer is None:
         return
-    keep(state, tracked)
+    update_answered(state, tracked)
     send_answer(state, tracked.answer, held.sender, submit.attempt, now)
 
 
@@ -277,12 +277,14 @@
 
 def on_cancel(state: OwnerState, sender: str, cancel: Cancel, now: float) -> None:
     """A caller wants a submission stopped."""
-    tracked = find(state, cancel.submission)
+    tracked = find_submission(state, cancel.submission)
     if tracked is None:
         # It may still be on its way here: then it must not start any more.
         state.cancelled[cancel.submission] = now + state.timing.retention
         if state.phase is Phase.SERVING:
-            state.send(sender, job_state(state, Query(cancel.submission, ""), sender))
+            state.send(
+                sender, make_job_state(state, Query(cancel.submission, ""), sender)
+            )
         return
     if tracked.answer is None:
         refusal = Refusal(RefusalCode.CANCELLED, "its caller cancelled it")
@@ -305,6 +307,6 @@
             )
             begin_ending(state, tracked, refusal, now)
     while state.kept and state.kept[0].kept_until <= now:
-        forget_oldest(state, early=False)
+        evict_oldest(state, early=False)
     for name in [key for key, until in state.cancelled.items() if until <= now]:
         del state.cancelled[name]
--- a/src/cactuswalk/state/timing.py
+++ b/src/cactuswalk/state/timing.py
@@ -22,7 +22,7 @@
         unknown and it is taken off the roster. Above the two seconds in which
         it must stop getting work, which it does after P.
     :param retention: how long records and answers are kept.
-    :param recent: how far back the records reach that a new owner collects. It
+    :param lookback: how far back the records reach that a new owner collects. It
         covers the deadlines of nearly all that may be open at a takeover, and
         at a full cell's 300 starts a second some 4 MB; of what is older it says
         that it is too old to know.
@@ -49,7 +49,7 @@
     suspect_stagger: float = 0.15
     lost: float = 3.0
     retention: float = 600.0
-    recent: float = 20.0
+    lookback: float = 20.0
     settle: float = 0.05
     report: float = 0.25
     query: float = 1.0
@@ -58,6 +58,6 @@
     entry_margin: float = 1.0
 
     @property
-    def reach(self) -> float:
+    def takeover_lookback(self) -> float:
         """Return how far back a takeover looks: no further than records are kept."""
-        return min(self.recent, self.retention)
+        return min(self.lookback, self.retention)
--- a/src/cactuswalk/state/waiting.py
+++ b/src/cactuswalk/state/waiting.py
@@ -19,19 +19,19 @@
     Send,
 )
 from cactuswalk.state.entryview import (
-    OWNER_AWAITED,
+    MAX_OWNER_WAIT_SECONDS,
     RETRY_WITHOUT_OWNER_MS,
     CellView,
     EntryState,
     Pending,
-    age_ms,
-    give_up,
+    key_age_ms,
     last_attempt,
     log,
-    no_owner,
-    outcome_unsent,
+    make_no_owner_refusal,
+    outcome_if_unsent,
+    refuse_pending,
 )
-from cactuswalk.state.listening import ask_again, hear, is_silent
+from cactuswalk.state.listening import is_silent, record_stamp, repeat_request
 
 __all__ = ["keep_pending", "on_answer", "on_job_state", "send_submit"]
 
@@ -51,7 +51,7 @@
     if not cell.owner:
         return
     if now - cell.stamp_at > state.timing.confirm:
-        ask_again(state, cell, now)
+        repeat_request(state, cell, now)
         return
     state.attempt += 1
     fresh = pending.minted and not pending.sent
@@ -60,14 +60,14 @@
         state.attempt,
         fresh,
         max(0, int((pending.deadline - now) * 1000)),
-        int(age_ms(state, pending.job, now)),
+        int(key_age_ms(state, pending.job, now)),
         cell.epoch,
         cell.stamp,
     )
     pending.attempts.add(state.attempt)
     pending.sent = True
     pending.sent_epoch = cell.epoch
-    pending.sign_at = now
+    pending.last_sign_at = now
     pending.query_after = state.timing.query
     state.effects += (Send(cell.owner, submit), Count("entry.submit.sent"))
 
@@ -80,7 +80,7 @@
         return
     view = state.cells[pending.cell]
     if sender == view.owner and answer.epoch == view.epoch:
-        hear(view, answer.stamp, now)
+        record_stamp(view, answer.stamp, now)
     if answer.outcome is Outcome.NOT_RUN and answer.epoch < view.epoch:
         # A deposed owner's word that came late: the new one may have started it.
         state.effects.append(Count("entry.answer.deposed"))
@@ -141,13 +141,13 @@
         message.answer.attempt = message.attempt
         on_answer(state, "", message.answer, now)
         return
-    pending.sign_at = now
+    pending.last_sign_at = now
     pending.query_after *= 2
     if not message.known and pending.cancelled:
         refusal = Refusal(
             RefusalCode.CANCELLED, "it was cancelled; nothing more of it will start"
         )
-        give_up(state, pending, Outcome.UNKNOWN, refusal)
+        refuse_pending(state, pending, Outcome.UNKNOWN, refusal)
         return
     if not message.known and state.cells[pending.cell].epoch == pending.sent_epoch:
         # The submit was lost on the way; the owner joins a repeated one.
@@ -162,7 +162,7 @@
         return
     if (
         not pending.sent
-        and (view.unread or view.retired)
+        and (view.record_unreadable or view.retired)
         and is_silent(view, state.timing.confirm, now)
     ):
         refusal = Refusal(
@@ -170,21 +170,25 @@
             f"cell {view.cell} has no owner, and nobody can take it over now",
             RETRY_WITHOUT_OWNER_MS,
         )
-        give_up(state, pending, outcome_unsent(pending.minted), refusal)
+        refuse_pending(state, pending, outcome_if_unsent(pending.minted), refusal)
         return
-    sought = view.sought_since
+    sought = view.silent_since
     since = (
         pending.submitted_at if sought is None else min(pending.submitted_at, sought)
     )
-    if not pending.sent and now - since > OWNER_AWAITED:
-        outcome = outcome_unsent(pending.minted)
-        give_up(state, pending, outcome, no_owner(view))
+    if not pending.sent and now - since > MAX_OWNER_WAIT_SECONDS:
+        outcome = outcome_if_unsent(pending.minted)
+        refuse_pending(state, pending, outcome, make_no_owner_refusal(view))
         return
     if pending.sent_epoch < view.epoch:
         send_submit(state, pending, view, now)
         return
-    if pending.sent and view.owner and now - pending.sign_at >= pending.query_after:
-        pending.sign_at = now
+    if (
+        pending.sent
+        and view.owner
+        and now - pending.last_sign_at >= pending.query_after
+    ):
+        pending.last_sign_at = now
         query = Query(pending.job.submission, "", last_attempt(pending))
         state.effects.append(Send(view.owner, query))
         state.effects.append(Count("entry.query.sent"))
@@ -198,7 +202,7 @@
             "its deadline passed before an owner of its cell was found",
             RETRY_WITHOUT_OWNER_MS,
         )
-        give_up(state, pending, outcome_unsent(pending.minted), refusal)
+        refuse_pending(state, pending, outcome_if_unsent(pending.minted), refusal)
         return
     if view.owner:
         state.effects.append(Send(view.owner, Cancel(pending.job.submission)))
@@ -207,4 +211,4 @@
         "its deadline passed without word from the owner of its cell; it may have run",
         RETRY_WITHOUT_OWNER_MS,
     )
-    give_up(state, pending, Outcome.UNKNOWN, refusal)
+    refuse_pending(state, pending, Outcome.UNKNOWN, refusal)
--- a/tools/capacity_rows.py
+++ b/tools/capacity_rows.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cactuswalk.settings.agent import DEFAULT_RETENTION_BYTES
-from cactuswalk.state.answers import KEPT_AT_LEAST
+from cactuswalk.state.answers import MIN_KEPT_SECONDS
 from cactuswalk.state.nodestate import LEDGER_SHARE, RECORDS_SHARE
 from tools.capacity import (
     BYTES_BOUND,
@@ -170,7 +170,7 @@
     def owner_mb(task_bytes: float) -> Callable[[Size], float]:
         def value(size: Size) -> float:
             kept = size.starts_a_cell * RETENTION_S * task_bytes
-            least = size.starts_a_cell * KEPT_AT_LEAST * task_bytes
+            least = size.starts_a_cell * MIN_KEPT_SECONDS * task_bytes
             room = 2 * LEDGER_SHARE * DEFAULT_RETENTION_BYTES
             return agent_mb(size) + min(kept, max(room, least)) / MEGABYTE
 
--- a/tools/in_force.py
+++ b/tools/in_force.py
@@ -28,7 +28,7 @@
 )
 from cactuswalk.model import Member
 from cactuswalk.model.configuration import WorkerEntry, encode_object, object_key
-from cactuswalk.state.configuration import Replica, Spread
+from cactuswalk.state.configuration import ConfigurationSync, Replica
 from cactuswalk.state.effects import Send
 
 # docs/CAPACITY.md: a cell is some tens of workers.
@@ -47,11 +47,11 @@
 class Node:
     """One process's replica and its conversation."""
 
-    __slots__ = ("name", "spread", "peers", "agents")
+    __slots__ = ("name", "sync", "peers", "agents")
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.spread = Spread(Replica())
+        self.sync = ConfigurationSync(Replica())
         self.peers: list[str] = []
         self.agents: list[str] = []
 
@@ -104,20 +104,20 @@
         """Let a node handle a message and return what it sends."""
         now = time.monotonic()
         if isinstance(message, Ping):
-            return node.spread.heard(sender, message.configuration, now)
+            return node.sync.request_if_behind(sender, message.configuration, now)
         if isinstance(message, ConfigurationOffer):
-            return node.spread.offered(sender, message, now)
+            return node.sync.on_offer(sender, message, now)
         if isinstance(message, ConfigurationRequest):
-            return node.spread.requested(sender, message)
+            return node.sync.on_request(sender, message)
         return self.publish(node, sender, message)
 
     def publish(self, node: Node, sender: str, update: ConfigurationUpdate) -> list:
         """Apply an update and pass it on."""
-        before = node.spread.replica.revision
-        applied, sends = node.spread.updated(sender, update, time.monotonic())
+        before = node.sync.replica.revision
+        applied, sends = node.sync.on_update(sender, update, time.monotonic())
         if applied.objects:
-            sends += node.spread.offers(node.peers)
-            sends += node.spread.updates(before, node.agents)
+            sends += node.sync.make_offers(node.peers)
+            sends += node.sync.make_updates(before, node.agents)
         return sends
 
     def tick(self) -> None:
@@ -125,13 +125,13 @@
         for owner in self.owners:
             ping = self.ping(owner)
             self.send(owner, [Send(agent, ping) for agent in owner.agents], False)
-            self.send(owner, owner.spread.alongside(owner.agents))
-            self.send(owner, owner.spread.offers(owner.peers), False)
+            self.send(owner, owner.sync.offers_if_ahead(owner.agents))
+            self.send(owner, owner.sync.make_offers(owner.peers), False)
 
     def ping(self, owner: Node) -> Ping:
         """Return the owner's ping."""
         member = Member(owner.name, "", owner.name)
-        return Ping("cell", 1, member, 1, owner.spread.replica.revision, 0, [])
+        return Ping("cell", 1, member, 1, owner.sync.replica.revision, 0, [])
 
     def accept(self, revision: int) -> ConfigurationUpdate:
         """Accept a change at the first entry; the others hear by their watch."""
@@ -139,7 +139,7 @@
         value = encode_object(WorkerEntry(name=name, labels={"n": str(revision)}))
         stored = StoredObject(f"worker/{name}", revision, value)
         first = self.entries[0]
-        held = first.spread.replica.revision
+        held = first.sync.replica.revision
         own = ConfigurationUpdate(held, held, [stored], [revision])
         self.send(first, self.publish(first, "", own))
         update = ConfigurationUpdate(revision - 1, revision, [stored])
@@ -160,7 +160,7 @@
     def missing(self, revision: int) -> int:
         """Return on how many nodes a revision is not in force."""
         return sum(
-            not node.spread.replica.holds(revision) for node in self.nodes.values()
+            not node.sync.replica.holds(revision) for node in self.nodes.values()
         )
 
 
@@ -173,7 +173,7 @@
             ping_at += network.arguments.period
             network.tick()
         for node in network.nodes.values():
-            network.send(node, node.spread.tick(time.monotonic()))
+            network.send(node, node.sync.tick(time.monotonic()))
         await asyncio.sleep(TICK_SECONDS)
 
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -87,7 +87,7 @@
     Mutant(
         "an entry keeps its pace though a caller waits",
         f"{STATE}/listening.py",
-        "    if busy:\n        return CLOSEST_PACE\n",
+        "    if busy:\n        return MIN_REPORT_INTERVAL_SECONDS\n",
         "",
         LISTENING,
     ),
@@ -179,7 +179,7 @@
     Mutant(
         "callers wait for their deadlines where half of a cell is lost",
         f"{STATE}/waiting.py",
-        "    if not pending.sent and now - since > OWNER_AWAITED:\n",
+        "    if not pending.sent and now - since > MAX_OWNER_WAIT_SECONDS:\n",
         "    if False:\n",
         LOST,
     ),
@@ -221,7 +221,7 @@
     Mutant(
         "a word that an attempt did not start leaves the witness's record",
         f"{STATE}/flights.py",
-        "    _note_declined(state, message, now)\n",
+        "    _decline_recovered(state, message, now)\n",
         "",
         TAKEOVER,
     ),
@@ -284,7 +284,7 @@
     Mutant(
         "a declined attempt leaves no tombstone",
         f"{STATE}/agent.py",
-        "        tombstone(gate, start, now)\n",
+        "        record_decline(gate, start, now)\n",
         "",
         ANSWERS,
     ),
--- a/tools/mutants_cells.py
+++ b/tools/mutants_cells.py
@@ -96,7 +96,7 @@
     Mutant(
         "a key whose cell can get no owner is held back",
         "src/cactuswalk/state/waiting.py",
-        "        and (view.unread or view.retired)\n",
+        "        and (view.record_unreadable or view.retired)\n",
         "        and False\n",
         CELLS,
     ),
