--- a/src/cactuswalk/state/configuration.py
+++ b/src/cactuswalk/state/configuration.py
@@ -173,13 +173,13 @@
     message may be lost: each is caused again by the next ping or report.
     """
 
-    __slots__ = ("replica", "asked", "asked_address", "asked_at", "pause")
+    __slots__ = ("replica", "asked", "asked_of", "asked_at", "pause")
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         # The revision that was last asked for, of whom, and when to ask again.
         self.asked = 0
-        self.asked_address = ""
+        self.asked_of = ""
         self.asked_at = 0.0
         self.pause = 0.0
 
@@ -213,7 +213,7 @@
         wanted = max(revision, *ahead, 0) if ahead else revision
         if not self._may_ask(wanted, now):
             return []
-        self.asked_address = sender
+        self.asked_of = sender
         return [Send(sender, ConfigurationRequest(self.replica.revision))]
 
     def tick(self, now: float) -> list[Send]:
@@ -225,7 +225,7 @@
         """
         if self.replica.holds(self.asked) or self.pause >= MAX_WAIT_SECONDS:
             return []
-        return self.request_if_behind(self.asked_address, self.asked, now)
+        return self.request_if_behind(self.asked_of, self.asked, now)
 
     def on_offer(
         self, sender: str, offer: ConfigurationOffer, now: float
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -340,8 +340,8 @@
     Mutant(
         "a restarted agent speaks for its earlier life",
         f"{STATE}/gate.py",
-        "if start.incarnation != gate.member.incarnation:\n        return Verdict",
-        "if False:\n        return Verdict",
+        "if start.incarnation != gate.member.incarnation:\n        return StartDecision",
+        "if False:\n        return StartDecision",
         GATE,
     ),
     Mutant(
