--- a/src/cactuswalk/state/agent.py
+++ b/src/cactuswalk/state/agent.py
@@ -1,7 +1,7 @@
-"""The agent beside an upstream: events in, effects out.
+"""The reducer of the agent that runs beside an upstream.
 
-It starts what the gate lets pass, records it, and tells the owner of the cell.
-It answers pings, probes and fences from its records alone.
+It executes the starts that the gate allows, records them and reports to the owner
+of the cell. It answers pings, probes and fences from its records alone.
 """
 
 import itertools
@@ -60,28 +60,31 @@
 __all__ = ["AgentState", "new_agent"]
 
 
-# The first status that means that the upstream did not do what was asked, by
-# the fault of its own (RFC 9110, section 15.6).
+# Statuses from here on mean that the upstream failed to fulfil a valid request
+# (RFC 9110, section 15.6).
 MIN_SERVER_ERROR_STATUS = 500
 
 
 class AgentState(msgspec.Struct):
-    """What an agent knows.
-
-    :param roster: of the cell, as its owner last sent it.
-    :param heard_at: when the owner in force was last heard; at first when this
-        agent started, or its word would depose an owner that it just has not
-        been pinged by yet.
-    :param copies: records kept for others; the gate does not look at them,
-        since a task may come here after it was declined elsewhere.
+    """State of an agent.
+
+    :param roster: members of the cell, as its owner last sent them.
+    :param heard_at: when the current owner was last heard from. Starts at the
+        agent's own start; otherwise a new agent would report a long silence and
+        help to depose an owner that has not pinged it yet.
+    :param copies: records kept for other agents. The gate ignores them, since a
+        task may be sent here after it was declined elsewhere.
     :param confirmed_at: when an owner of an epoch before the last fence was last
         confirmed.
     :param sync: this process's copy of the configuration.
-    :param fenced_epoch: the epoch whose fence took ``fenced_records``, the records
-        as they stood then; parts that are asked for again must not shift.
-    :param configuration: revision in force here.
-    :param guard: of the worker's memory.
-    :param effects: gathered while an event is handled.
+    :param fenced_epoch: epoch of the fence at which ``fenced_records`` was taken.
+        The list is a snapshot, so that its parts stay the same when they are
+        requested again.
+    :param fenced_since: start of the period that ``fenced_records`` covers.
+    :param lookback: how far back the records sent to a new owner go, in seconds.
+    :param configuration: configuration revision in force here.
+    :param guard: guard of the worker's memory.
+    :param effects: effects collected while an event is handled.
     """
 
     cell: str
@@ -110,20 +113,20 @@
     lookback: float,
     now: float,
 ) -> AgentState:
-    """Return the state of an agent that has just been started."""
+    """Return the initial state of an agent."""
     return AgentState(
         cell, gate, copies, sync, heard_at=now, confirmed_at=now, lookback=lookback
     )
 
 
 def on_announced(state: AgentState, event: Announced, now: float) -> None:
-    """The upstream has announced itself, changed, or withdrawn."""
+    """Handle a new, changed or withdrawn announcement of the upstream."""
     announcement = event.announcement or state.announcement
     if announcement is None:
         return
     ready = event.announcement is not None and announcement.ready
     state.announcement_serial += 1
-    # A copy: the owner may be in this process, and hold the one before.
+    # Copied, since an owner in this process may still hold the previous object.
     state.announcement = msgspec.structs.replace(
         announcement, ready=ready, serial=state.announcement_serial
     )
@@ -132,10 +135,10 @@
 
 
 def _send_announcement(state: AgentState) -> None:
-    """Tell the owner at once; the next ping asks for it if this is lost.
+    """Send the announcement to the owner; the next ping recovers a lost message.
 
-    Until then it would go on placing tasks at an upstream that is gone, and each
-    would come back declined.
+    Without it the owner would go on placing tasks at an upstream that has left,
+    and each would be declined.
     """
     gate = state.gate
     if gate.owner is not None and gate.member in state.roster:
@@ -144,7 +147,7 @@
 
 
 def on_ping(state: AgentState, sender: str, ping: Ping, now: float) -> None:
-    """The owner asks for a confirmation of its epoch."""
+    """Confirm the epoch of the owner, or reject it."""
     gate = state.gate
     if _confirm(state, ping):
         state.heard_at = now
@@ -152,7 +155,7 @@
         if ping.announcement != state.announcement_serial and state.announcement:
             join = Join(state.cell, gate.member, state.announcement)
             state.effects.append(Send(sender, join))
-    # A deposed owner gets a pong too: the higher epoch in it stops it at once.
+    # A deposed owner gets a pong too: the higher epoch makes it step down at once.
     pong = Pong(
         state.cell,
         gate.epoch,
@@ -169,7 +172,7 @@
 
 
 def _confirm(state: AgentState, ping: Ping) -> bool:
-    """Take what a ping says of the cell; tell whether its epoch is in force."""
+    """Apply a ping to the state; return whether its epoch is in force."""
     gate = state.gate
     if ping.owner is None:
         return ping.epoch == gate.epoch
@@ -183,7 +186,7 @@
 
 
 def on_start(state: AgentState, sender: str, start: Start, now: float) -> None:
-    """The owner wants a task started here."""
+    """Start a task for the owner, or decline it."""
     gate = state.gate
     decision = check_start(gate, start, now)
     if decision.is_duplicate:
@@ -222,13 +225,13 @@
 def on_upstream_answered(
     state: AgentState, event: UpstreamAnswered, now: float
 ) -> None:
-    """The upstream's part of a task has ended."""
+    """Record the end of a call to the upstream and report it to the owner."""
     gate = state.gate
     place = (event.submission, event.index)
     record = gate.records.get(*place)
     if record is None or record.attempt != event.attempt or place not in gate.running:
-        # The record's time has passed, or the call belongs to an attempt that
-        # is settled: an answer must not be taken for another attempt's.
+        # The record has expired, or the call belongs to an earlier attempt, whose
+        # answer must not be recorded for the current one.
         state.effects.append(Count("agent.answer.stale"))
         return
     del gate.running[place]
@@ -241,13 +244,14 @@
         done = ended.result.outcome is TaskOutcome.DONE
         ended.state = TaskState.DONE if done else TaskState.FAILED
     result = ended.result
-    # The book may drop the body at once for want of room; the owner gets it.
+    # The record book may drop the body at once when it is full, so the result for
+    # the owner is kept separately.
     gate.records.put(ended, now)
     _report_end(state, ended, result, event.elapsed_ms)
 
 
 def on_usage(state: AgentState, event: UsageReported, now: float) -> None:
-    """The upstream has reported what its tasks use."""
+    """Pass a report of memory use to the guard."""
     if state.announcement is not None:
         capacity, worker = state.announcement.capacity, state.gate.member.worker
         effects = on_usage_report(state.guard, event.usages, capacity, worker, now)
@@ -255,7 +259,7 @@
 
 
 def on_probe(state: AgentState, sender: str, probe: Probe, now: float) -> None:
-    """The owner asks what became of an attempt; tell it from the record."""
+    """Report the state of an attempt from its record."""
     gate = state.gate
     if probe.epoch != gate.epoch or probe.incarnation != gate.member.incarnation:
         state.effects.append(Count("agent.probe.refused"))
@@ -275,10 +279,8 @@
     _report_end(state, record, record.result, 0)
 
 
-def on_heard(
-    state: AgentState, sender: str, heard: LastContactRequest, now: float
-) -> None:
-    """A member misses the owner: say how long it has been silent here."""
+def on_heard(state: AgentState, sender: str, heard: LastContactRequest, now: float) -> None:
+    """Report to a member how long the owner has been silent here."""
     known = heard.epoch >= state.gate.epoch
     silent = now - state.heard_at if known else 0.0
     silent_ms = int(min(silent * 1000, 2**31))
@@ -287,14 +289,14 @@
 
 
 def delta_encode(attempts: Iterable[int]) -> list[int]:
-    """Return numbers as the lowest and the distance of each from the one below."""
+    """Return the sorted numbers as the lowest and the successive differences."""
     ordered = sorted(attempts)
     steps = [later - one for one, later in itertools.pairwise(ordered)]
     return ordered[:1] + steps
 
 
 def make_stamp(now: float) -> int:
-    """Return the stamp for a moment: whole milliseconds, rounded down."""
+    """Convert a time in seconds to a stamp in whole milliseconds, rounded down."""
     return int(now * 1000)
 
 
@@ -303,7 +305,7 @@
 
 
 def _decline_unknown(state: AgentState, probe: Probe, now: float) -> Record:
-    """Decline an attempt that never came, so that it can't come later."""
+    """Record a decline of an attempt never received, so that it cannot start later."""
     record = Record(
         probe.submission,
         probe.index,
@@ -320,7 +322,7 @@
 
 def _result_of(event: UpstreamAnswered, stopped: str) -> TaskResult:
     if event.outcome is UpstreamOutcome.UNCERTAIN:
-        reason = "the upstream was called and gave no whole answer"
+        reason = "the upstream was called but gave no complete answer"
         return TaskResult(event.index, TaskOutcome.UNKNOWN, reason=reason)
     if event.status >= MIN_SERVER_ERROR_STATUS:
         if stopped:
@@ -339,7 +341,7 @@
 def _report_end(
     state: AgentState, record: Record, result: TaskResult | None, elapsed_ms: int
 ) -> None:
-    """Tell the owner in force how an attempt ended; it may be a new one."""
+    """Report the end of an attempt to the current owner, which may be a new one."""
     gate = state.gate
     if gate.owner is None:
         return
--- a/src/cactuswalk/state/answered.py
+++ b/src/cactuswalk/state/answered.py
@@ -1,8 +1,8 @@
-"""Answered submissions as an owner keeps them for the retention window: packed.
+"""Packed form in which an owner keeps answered submissions for the retention window.
 
-An owner answers some hundreds of submissions a second and can't forget one before
-ten seconds have passed. Kept as the structures that they were answered from, they
-took most of what an agent may use; few of them are ever asked for again.
+Load pattern: an owner answers some hundreds of submissions a second and must keep
+each for at least ten seconds, but few are ever requested again. Kept as the original
+structures, they took most of the memory that an agent may use.
 """
 
 import msgspec
@@ -11,8 +11,8 @@
 
 __all__ = ["ANSWERED_OVERHEAD_BYTES", "Answered", "pack_answered", "pack", "unpack"]
 
-# What an answered submission takes besides its packed bytes: its name, its places in a
-# dictionary and two queues, two moments.
+# Bytes of an answered submission besides its packed form: its identifier, its entries
+# in a dictionary and two queues, and two times.
 ANSWERED_OVERHEAD_BYTES = 300
 
 _encoder = msgspec.msgpack.Encoder()
@@ -22,8 +22,8 @@
 class Answered(msgspec.Struct, gc=False):
     """One answered submission.
 
-    :param kept_until: when it is forgotten.
-    :param body_bytes: what the bodies of its answer take of ``packed``.
+    :param kept_until: when it expires.
+    :param body_bytes: size of the answer's bodies within ``packed``.
     """
 
     submission: str
@@ -34,27 +34,27 @@
 
     @property
     def kept_bytes(self) -> int:
-        """Return about how many bytes it takes, less its answer's bodies."""
+        """Approximate size in bytes, without the bodies of the answer."""
         return ANSWERED_OVERHEAD_BYTES + len(self.packed) - self.body_bytes
 
 
 def pack(tracked: Tracked) -> bytes:
-    """Return the bytes of an answered submission.
+    """Encode an answered submission.
 
-    What the answer repeats of its job, and of its tasks where it is whole, is kept
-    once.
+    Fields that the answer shares with its job are stored once, and so are the
+    results when they are the same as those of the tasks.
     """
     answer = msgspec.structs.replace(tracked.answer, submission="", fingerprint=b"")
     if answer.results == [task.result for task in tracked.tasks]:
         answer.results = []
     encoded = _encoder.encode(msgspec.structs.replace(tracked, answer=answer))
-    # The encoder leaves its buffer's spare room, up to half as much again, with what
-    # it returns; a copy has none.
+    # The encoder returns its buffer with up to half as much spare capacity; a copy
+    # has none.
     return bytes(memoryview(encoded))
 
 
 def unpack(answered: Answered) -> Tracked:
-    """Return an answered submission as it was; ``pack`` keeps its changes."""
+    """Decode an answered submission; changes to it have to be packed again."""
     tracked = _decoder.decode(answered.packed)
     job, answer = tracked.job, tracked.answer
     answer.submission, answer.fingerprint = job.submission, job.fingerprint
@@ -64,7 +64,7 @@
 
 
 def pack_answered(tracked: Tracked, kept_until: float) -> Answered:
-    """Return what is kept of a submission that has just been answered."""
+    """Return the packed form of a submission that has just been answered."""
     return Answered(
         tracked.job.submission,
         pack(tracked),
--- a/src/cactuswalk/state/answers.py
+++ b/src/cactuswalk/state/answers.py
@@ -1,4 +1,4 @@
-"""Final answers: given once, kept for the retention window, sent to waiters."""
+"""Final answers: given once, kept for the retention window, sent to entries."""
 
 import msgspec
 
@@ -28,30 +28,29 @@
 ]
 
 
-# Answered submissions younger than this are never forgotten: three times the
-# clocks' margins, so that new keys stay well clear of what is forgotten.
+# Answered submissions younger than this are never evicted: three times the clock
+# margins, so that a new key is never mistaken for an evicted one.
 MIN_KEPT_SECONDS = 10.0
 
-# One list for all answered submissions; nobody adds to the tasks of a job.
+# Shared by all answered submissions; the tasks of a job are never modified.
 NO_TASKS: list[TaskSpec] = []
 
 
 def give_answer(
     state: OwnerState, tracked: Tracked, refusal: Refusal | None, now: float
 ) -> None:
-    """Give a submission its final answer, at once, to all who wait for it.
+    """Answer a submission and send the answer to every entry that waits for it.
 
-    :raises InvariantError: if it has one already, or if it would be partial.
+    :raises InvariantError: if it is already answered, or the answer is incomplete.
     """
     job = tracked.job
     if tracked.answer is not None:
         raise InvariantError(
             f"{job.submission} would be answered twice",
-            "Report this with the owner's log; the first answer stands.",
+            "Report this with the owner's log; the first answer remains valid.",
         )
     tracked.answer = answer_of(tracked, refusal, state.is_confirmed(now))
-    # The rest of it has served its turn; the fingerprint is enough to recognise a
-    # resubmission.
+    # Only the fingerprint is still needed, to recognise a resubmission.
     tracked.job = Job(job.submission, job.fingerprint, "", "", NO_TASKS)
     state.count(f"answer.{tracked.answer.outcome}")
     state.log(
@@ -67,7 +66,7 @@
 
 
 def _move_to_answered(state: OwnerState, tracked: Tracked, now: float) -> None:
-    """Move an answered submission from the open ones to the kept ones."""
+    """Move a submission from the open ones to the answered ones."""
     name = tracked.job.submission
     state.open.pop(name, None)
     state.ledger.pop(name, None)
@@ -81,9 +80,9 @@
 
 
 def find_submission(state: OwnerState, submission: str) -> Tracked | None:
-    """Return a submission, open or answered; None if it is not known here.
+    """Return an open or answered submission; None if it is unknown.
 
-    What is changed of an answered one has to be kept with ``update_answered``.
+    Changes to an answered one have to be stored with ``update_answered``.
     """
     tracked = state.ledger.get(submission)
     if tracked is not None:
@@ -93,7 +92,7 @@
 
 
 def update_answered(state: OwnerState, tracked: Tracked) -> None:
-    """Keep what has changed of an answered submission."""
+    """Store the changes to an answered submission."""
     answered = state.answered[tracked.job.submission]
     state.kept_bytes -= answered.kept_bytes
     answered.packed = pack(tracked)
@@ -101,11 +100,11 @@
 
 
 def _enforce_limits(state: OwnerState, now: float) -> None:
-    """Keep within the bounds, of bodies and of submissions.
+    """Drop bodies and evict submissions until both are within their limits.
 
-    No submission is forgotten while it is young. A key is told from a forgotten one by
-    its birth, which clocks blur by some seconds; were the youngest forgotten,
-    new submissions would be taken for old ones and not be run.
+    Submissions younger than ``MIN_KEPT_SECONDS`` are never evicted. New keys are
+    told from evicted ones by their time of creation, which is only known to some
+    seconds; if young submissions were evicted, new ones would be refused as old.
     """
     while state.body_bytes > state.maximum_bytes and state.with_bodies:
         _drop_bodies(state, state.with_bodies.popleft())
@@ -118,7 +117,7 @@
 
 
 def _drop_bodies(state: OwnerState, answered: Answered) -> None:
-    """Keep of an answer that it was given; its caller may ask in vain now."""
+    """Replace the results of an answer by the fact that the tasks ran."""
     state.body_bytes -= answered.body_bytes
     if state.answered.get(answered.submission) is not answered:
         return
@@ -142,10 +141,10 @@
 
 
 def evict_oldest(state: OwnerState, early: bool) -> None:
-    """Forget the submission that was answered first.
+    """Remove the submission that was answered first.
 
-    :param early: before its time, for want of room; then what is as old may
-        not be taken for new.
+    :param early: it is evicted before its retention ends, for lack of space; then
+        unknown keys that are as old can no longer be treated as new.
     """
     answered = state.kept.popleft()
     state.kept_bytes -= answered.kept_bytes
@@ -156,7 +155,7 @@
         state.with_bodies.popleft()
         state.body_bytes -= answered.body_bytes
     name = answered.submission
-    # A new try after a refusal has an entry of its own.
+    # A resubmission after a refusal has an entry of its own.
     if state.answered.get(name) is answered:
         del state.answered[name]
 
@@ -164,7 +163,7 @@
 def send_answer(
     state: OwnerState, answer: Answer, address: str, attempt: int, now: float
 ) -> None:
-    """Send an answer to one entry, under the attempt that it waits for."""
+    """Send an answer to one entry, with the attempt that it waits for."""
     fields = {"attempt": attempt, "epoch": state.record.epoch, "stamp": make_stamp(now)}
     state.send(address, msgspec.structs.replace(answer, **fields))
 
@@ -177,10 +176,10 @@
     outcome: Outcome,
     now: float,
 ) -> None:
-    """Answer a submission that is not taken into the ledger.
+    """Answer a submission without adding it to the ledger.
 
-    :param outcome: the truth; "not run" needs a confirmed owner or a body that
-        was never run under its key.
+    :param outcome: must be certain; "not run" requires a confirmed owner or a body
+        that never ran under this key.
     """
     job = submit.job
     state.count(f"answer.{outcome}")
--- a/src/cactuswalk/state/attempts.py
+++ b/src/cactuswalk/state/attempts.py
@@ -1,8 +1,8 @@
 """Second attempts at a request that its caller declared idempotent.
 
-Retries after a failure that leaves the outcome open, and hedges beside a
-straggler. The scheduler's budgets bound both: without them, an upstream that
-fails would be asked ever more often, just when it has the least to give.
+Covers retries after a failure or an unknown outcome, and hedged attempts beside
+stragglers. Load pattern: a failing upstream. Without the scheduler's budgets for
+both, retries would multiply its load just when it has the least capacity.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 def is_current(task: Task, incarnation: str, attempt: int) -> bool:
-    """Tell whether an attempt is one that the task waits for."""
+    """Return whether the task waits for an attempt."""
     return any(
         place is not None
         and place.incarnation == incarnation
@@ -32,16 +32,16 @@
 
 
 def find_other_attempt(task: Task, attempt: int) -> Place | None:
-    """Return the attempt that runs beside this one, None if there is none."""
+    """Return the attempt that runs in parallel to this one, if any."""
     if task.hedge is None:
         return None
     return task.place if task.hedge.attempt == attempt else task.hedge
 
 
 def fall_back_to_other(task: Task, incarnation: str, attempt: int) -> bool:
-    """Wait on for the other attempt when one has come to nothing.
+    """Continue with the parallel attempt after the given one has failed.
 
-    :return: False if there is no other one.
+    :return: False if there is no parallel attempt.
     """
     other = find_other_attempt(task, attempt)
     if other is None:
@@ -53,9 +53,9 @@
 def requeue_request(
     state: OwnerState, tracked: Tracked, result: TaskResult, now: float
 ) -> bool:
-    """Queue a request again that failed or whose outcome is open.
+    """Requeue a request that failed or whose outcome is unknown.
 
-    :return: False if it may not run twice, or its budget is spent.
+    :return: False if it may not run twice, or the retry budget is used up.
     """
     job = tracked.job
     if not (job.request and job.idempotent) or tracked.ending is not None:
@@ -68,7 +68,7 @@
     task.stage, task.place = Stage.QUEUED, None
     state.count("start.retried")
     state.log(
-        "tries a request again",
+        "retrying a request",
         submission=job.submission,
         worker=worker,
         reason=result.reason,
@@ -82,10 +82,11 @@
     now: float,
     send_start: Callable[[OwnerState, Tracked, int, Place, float], None],
 ) -> None:
-    """Start second attempts at requests that take unusually long.
+    """Start second attempts of requests that take unusually long.
 
-    Only in services whose operators want it: it shortens the longest waits to a
-    third, at three times the goal for wasted messages (docs/design/decisions).
+    Only for services where operators enable it: it shortens the longest waits to a
+    third, but wastes three times as many messages as the goal allows
+    (docs/design/decisions).
     """
     if not state.hedged_services:
         return
@@ -108,7 +109,7 @@
         peer.flights[name] = place
         state.count("start.hedged")
         state.log(
-            "hedges a request",
+            "started a hedged attempt",
             submission=queued.job.submission,
             worker=assignment.worker,
             reason=assignment.reason,
--- a/src/cactuswalk/state/callers.py
+++ b/src/cactuswalk/state/callers.py
@@ -1,4 +1,4 @@
-"""What callers want of an entry: submissions, cancels, questions."""
+"""Handlers of callers' requests to an entry: submissions, cancels, disconnects."""
 
 from cactuswalk.messages import (
     Cancel,
@@ -42,7 +42,7 @@
 
 
 def on_caller_submitted(state: EntryState, event: CallerSubmitted, now: float) -> None:
-    """A caller has handed in a checked job."""
+    """Send a validated job to the owner of a cell, or refuse it."""
     job = event.job
     refusal = _check_submission(state, event, now)
     if refusal is not None:
@@ -87,20 +87,20 @@
 def _check_submission(
     state: EntryState, event: CallerSubmitted, now: float
 ) -> Refusal | None:
-    """Return why a submission goes no further than this entry."""
+    """Return why this entry refuses a submission itself; None if it does not."""
     job = event.job
     age = key_age_ms(state, job, now)
     margin_ms = state.timing.clock_margin * 1000
     if age > state.timing.retention * 1000 - margin_ms:
         return Refusal(
             RefusalCode.TOO_OLD,
-            f"its key was born {age / 1000:.0f} s ago, records are kept for "
+            f"its key was created {age / 1000:.0f} s ago, records are kept for "
             f"{state.timing.retention:.0f} s",
         )
     if age < -margin_ms:
         return Refusal(
             RefusalCode.TOO_OLD,
-            f"its key will be born in {-age / 1000:.0f} s; set the clock right",
+            f"its key lies {-age / 1000:.0f} s in the future; correct the clock",
         )
     if event.remaining_ms <= 0:
         return Refusal(RefusalCode.DEADLINE_PASSED, "the deadline has passed")
@@ -112,13 +112,14 @@
 
 
 def _check_owner(cell: CellView, now: float) -> Refusal | None:
-    """Refuse at once where nobody has taken the cell over for long.
+    """Return a refusal if the cell has been without an owner for too long.
 
-    In an outage of the key-value service nobody can. Each submission would wait
-    as long as the first one did, and its caller could have gone elsewhere.
+    During an outage of the key-value service no process can take a cell over.
+    Without this check each submission would wait as long as the first one did,
+    while its caller could have used another cell.
     """
     if cell.retired:
-        return Refusal(RefusalCode.NO_OWNER, f"cell {cell.cell} was lost for good")
+        return Refusal(RefusalCode.NO_OWNER, f"cell {cell.cell} is permanently lost")
     sought = cell.silent_since
     if sought is None or now - sought <= MAX_OWNER_WAIT_SECONDS:
         return None
@@ -138,14 +139,16 @@
             RefusalCode.UNKNOWN_SERVICE, f"no worker has announced {job.service}"
         )
     return Refusal(
-        RefusalCode.NO_OWNER, "no cell is known here yet", RETRY_WITHOUT_OWNER_MS
+        RefusalCode.NO_OWNER, "this entry knows no cell yet", RETRY_WITHOUT_OWNER_MS
     )
 
 
 def _join(state: EntryState, pending: Pending, event: CallerSubmitted) -> None:
-    """Let a resubmission wait for the same answer, if it is the same body."""
+    """Add a resubmission to the waiters, if its body is the same."""
     if pending.job.fingerprint != event.job.fingerprint:
-        refusal = Refusal(RefusalCode.KEY_REUSED, "this key is in use for another body")
+        refusal = Refusal(
+            RefusalCode.KEY_REUSED, "this key is in use with another body"
+        )
         refuse_waiter(
             state, event.waiter, event.job.submission, Outcome.NOT_RUN, refusal
         )
@@ -155,10 +158,10 @@
 
 
 def on_caller_cancelled(state: EntryState, event: CallerCancelled, now: float) -> None:
-    """A caller wants a submission stopped."""
+    """Cancel a submission."""
     pending = state.pending.get(event.submission)
     if pending is not None and not pending.sent:
-        refusal = Refusal(RefusalCode.CANCELLED, "its caller cancelled it")
+        refusal = Refusal(RefusalCode.CANCELLED, "cancelled by the caller")
         refuse_pending(state, pending, outcome_if_unsent(pending.minted), refusal)
         return
     owners = {view.owner for view in state.cells.values() if view.owner}
@@ -172,7 +175,7 @@
 def on_caller_disconnected(
     state: EntryState, event: CallerDisconnected, now: float
 ) -> None:
-    """Nobody waits at this waiter any more; what runs goes on."""
+    """Remove a waiter; running tasks continue."""
     for pending in state.pending.values():
         if event.waiter in pending.waiters:
             pending.waiters.remove(event.waiter)
--- a/src/cactuswalk/state/cellviews.py
+++ b/src/cactuswalk/state/cellviews.py
@@ -1,4 +1,4 @@
-"""An entry's view of the cells: owners, reports, the configuration."""
+"""An entry's view of the cells: owners, reports and configuration."""
 
 import msgspec
 
@@ -43,16 +43,16 @@
     "on_update",
 ]
 
-# An owner that is found silent has its cell's record read again this often.
+# Interval at which the record of a cell with a silent owner is read.
 CELL_READ_INTERVAL_SECONDS = 0.5
-# Entries tell each other what they hold this often, so that one that starts in
-# an outage of the service has the configuration within the five seconds in which
-# a change is to be in force.
+# Interval of configuration offers between entries. An entry that starts during an
+# outage of the service gets the configuration within the five seconds in which a
+# change has to be in force.
 PEER_OFFER_INTERVAL_SECONDS = 2.0
 
 
 def on_report(state: EntryState, sender: str, report: CellReport, now: float) -> None:
-    """An owner reports on its cell."""
+    """Apply a report of an owner; send pending submissions to a new owner."""
     view = state.cells.setdefault(report.cell, CellView(report.cell))
     if report.epoch < view.epoch or (
         report.epoch == view.epoch and report.stamp < view.stamp
@@ -85,13 +85,13 @@
 
 
 def on_not_owner(state: EntryState, sender: str, message: NotOwner, now: float) -> None:
-    """A process says that it does not own the cell."""
+    """Handle a reply from a process that does not own the cell."""
     view = state.cells.get(message.cell)
     if view is None:
         return
     if message.owner == sender and message.epoch == view.epoch:
-        # It owns the cell, but the stamp was old: it is asked for a young one,
-        # and the submission goes out again with it.
+        # It owns the cell, but the stamp was too old: request a fresh one and send
+        # the submission again with it.
         view.stamp_at = float("-inf")
         pending = state.pending.get(message.submission)
         if pending is not None and message.attempt == last_attempt(pending):
@@ -106,26 +106,24 @@
         pending.sent_epoch = min(pending.sent_epoch, message.epoch - 1)
 
 
-def on_heard(
-    state: EntryState, sender: str, heard: LastContactRequest, now: float
-) -> None:
-    """An agent that finds no record of its cell asks who owned it.
+def on_heard(state: EntryState, sender: str, heard: LastContactRequest, now: float) -> None:
+    """Tell an agent without a record of its cell who the owner was.
 
-    An owner that is silent is not named: the agent would ask it for a place for
-    ever. The epoch is told all the same, or the cell would go back.
+    A silent owner is not named: the agent would try to join it for ever. The epoch
+    is sent in any case; otherwise the cell would restart with a lower one.
     """
     view = state.cells.get(heard.cell, CellView(heard.cell))
     silent = is_silent(view, state.timing.confirm, now)
     owner = "" if silent else view.owner
     if owner and now - view.stamp_at > state.timing.confirm:
-        # Not asked for long; by the agent's next question it is known.
+        # Not asked for some time; its state is known by the agent's next request.
         repeat_request(state, view, now)
-    word = NotOwner(heard.cell, view.epoch, owner, "", 0)
-    state.effects.append(Send(sender, word))
+    reply = NotOwner(heard.cell, view.epoch, owner, "", 0)
+    state.effects.append(Send(sender, reply))
 
 
 def on_read(state: EntryState, event: KeyRead, now: float) -> None:
-    """A cell's record was read, to find its owner."""
+    """Apply a cell's record, and ask the owner it names for a report."""
     read = state.cells.get(event.key.removeprefix(cell_key("")))
     if read is not None:
         read.record_unreadable = not event.known
@@ -144,20 +142,23 @@
 
 
 def _notify_successors(state: EntryState, record: CellRecord) -> None:
-    """Tell cells that a retired one left them slots; nobody of it can.
+    """Tell cells about the slots that a retired cell has ceded to them.
 
-    They find out by themselves too, but look at one cell a minute only.
+    The retired cell has no process left to do so. The cells also find out by
+    themselves, but read only one other record a minute.
     """
-    life = f"{record.cell}/{record.identity}"
-    for heir in sorted({one.ceded_to for one in record.holdings if one.serial}):
-        view = state.cells.get(heir)
+    incarnation = f"{record.cell}/{record.identity}"
+    for successor in sorted({one.ceded_to for one in record.holdings if one.serial}):
+        view = state.cells.get(successor)
         if view is not None and view.owner:
-            left = [one for one in record.holdings if one.ceded_to == heir]
-            state.effects.append(Send(view.owner, CededSlots(record.cell, life, left)))
+            left = [one for one in record.holdings if one.ceded_to == successor]
+            state.effects.append(
+                Send(view.owner, CededSlots(record.cell, incarnation, left))
+            )
 
 
 def refresh_view(state: EntryState, view: CellView, busy: bool, now: float) -> None:
-    """Ask the owner at this entry's pace; look for another when it is silent.
+    """Request reports at this entry's interval; find the owner when it is silent.
 
     :param busy: a submission waits there.
     """
@@ -177,7 +178,7 @@
 def on_offer(
     state: EntryState, sender: str, offer: ConfigurationOffer, now: float
 ) -> None:
-    """An owner or another entry says what it, and its cell, have in force."""
+    """Handle an offer: what an owner or entry, and its cell, have in force."""
     if offer.cell:
         state.held[offer.cell] = offer.held
     state.effects += state.sync.on_offer(sender, offer, now)
@@ -186,7 +187,7 @@
 def on_update(
     state: EntryState, sender: str, update: ConfigurationUpdate, now: float
 ) -> None:
-    """Changes have come, from the watch, an operator here, or another node."""
+    """Apply changes from the watch, an operator at this entry or another node."""
     applied, requests = state.sync.on_update(sender, update, now)
     state.effects += requests
     if applied.refused:
@@ -197,7 +198,7 @@
 
 
 def sync_configuration(state: EntryState, now: float) -> None:
-    """Repeat what was asked for, and ask peers while the service is away."""
+    """Repeat unanswered requests and offer the configuration to peers."""
     state.effects += state.sync.tick(now)
     if now - state.offered_at >= PEER_OFFER_INTERVAL_SECONDS:
         state.offered_at = now
