--- a/src/cactuswalk/state/callers.py
+++ b/src/cactuswalk/state/callers.py
@@ -146,9 +146,7 @@
 def _join(state: EntryState, pending: Pending, event: CallerSubmitted) -> None:
     """Add a resubmission to the waiters, if its body is the same."""
     if pending.job.fingerprint != event.job.fingerprint:
-        refusal = Refusal(
-            RefusalCode.KEY_REUSED, "this key is in use with another body"
-        )
+        refusal = Refusal(RefusalCode.KEY_REUSED, "the key is in use with another body")
         refuse_waiter(
             state, event.waiter, event.job.submission, Outcome.NOT_RUN, refusal
         )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -340,8 +340,8 @@
     Mutant(
         "a restarted agent speaks for its earlier life",
         f"{STATE}/gate.py",
-        "if start.incarnation != gate.member.incarnation:\n        return StartDecision",
-        "if False:\n        return StartDecision",
+        "start.incarnation != gate.member.incarnation:\n        return StartDecision",
+        "False:\n        return StartDecision",
         GATE,
     ),
     Mutant(
