--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the guard in the agent's reducer."""
+"""Steps for the memory guard in the agent's reducer."""
 
 import json
 
@@ -81,7 +81,7 @@
     report(context, text)
 
 
-def wish_of(effect):
+def format_action(effect):
     if isinstance(effect, StopUpstream):
         return f"stop {effect.submission}/{effect.attempt}"
     action = "lift" if effect.factor == 1.0 else effect.action.value
@@ -89,19 +89,21 @@
     return f"{action} {effect.submission}/{effect.attempt}"
 
 
-def wishes(context):
+def requested_actions(context):
     kinds = (StopUpstream, ControlUpstream)
-    return [wish_of(one) for one in context.agent.effects if isinstance(one, kinds)]
+    return [
+        format_action(one) for one in context.agent.effects if isinstance(one, kinds)
+    ]
 
 
 @then('the guard asks for "{text}"')
 def step_asks(context, text):
-    assert wishes(context) == text.split(", "), context.agent.effects
+    assert requested_actions(context) == text.split(", "), context.agent.effects
 
 
 @then("the guard asks for nothing")
 def step_asks_nothing(context):
-    assert not wishes(context), context.agent.effects
+    assert not requested_actions(context), context.agent.effects
 
 
 @then("{count:d} tasks of the report were stale")
@@ -126,14 +128,14 @@
     assert result.outcome == outcome and words in result.reason, result
 
 
-@when("the upstream reports its use as {body}")
+@when("the upstream reports its usage as {body}")
 def step_report_body(context, body):
     context.status, _, context.body = request(
         context, "POST", f"{context.agent_url}/usage", data=body.encode()
     )
 
 
-@then('the report of use is refused as "{code}"')
+@then('the usage report is refused as "{code}"')
 def step_refused(context, code):
     assert context.status == 400, context.status
     assert not context.reported, context.reported
--- a/features/steps/once_attempts_steps.py
+++ b/features/steps/once_attempts_steps.py
@@ -1,4 +1,4 @@
-"""Steps for second attempts, on the reducers."""
+"""Steps for second attempts, run on the reducers."""
 
 from behave import given, then, when
 
@@ -14,8 +14,8 @@
     context.bag = small_cell(AGENTS, seed=11)
 
 
-@given("its operators want stragglers overtaken")
-def step_wanted(context):
+@given("its operators enable hedging")
+def step_hedging(context):
     owner = context.bag.owner().state.owner
     owner.hedged_services = frozenset(["routes"])
 
--- a/features/steps/once_gate_steps.py
+++ b/features/steps/once_gate_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gate beside a worker."""
+"""Steps for the gate of an agent."""
 
 from behave import given, then, when
 
@@ -15,8 +15,8 @@
 from cactuswalk.state.retention import RECORD_BYTES, RecordBook
 
 NOW = 50.0
-OWNER = Member("worker-1", "owner-life", "tcp://worker-1")
-SELF = Member("worker-2", "this-life", "tcp://worker-2")
+OWNER = Member("worker-1", "owner-incarnation", "tcp://worker-1")
+SELF = Member("worker-2", "this-incarnation", "tcp://worker-2")
 
 
 def make_start(**changes) -> Start:
@@ -85,9 +85,9 @@
     offer(context, make_start(stamp=stamp, remaining_ms=left))
 
 
-@when("it is offered a start for another life")
-def step_other_life(context):
-    offer(context, make_start(incarnation="earlier-life"))
+@when("it is offered a start for another incarnation")
+def step_other_incarnation(context):
+    offer(context, make_start(incarnation="earlier-incarnation"))
 
 
 @then("the start is declined")
@@ -96,7 +96,7 @@
     assert context.decision.reason
 
 
-@then("the start passes")
+@then("the start is allowed")
 def step_passes(context):
     assert context.decision.is_allowed, context.decision
 
@@ -113,8 +113,8 @@
     context.second = offer(context, make_start())
 
 
-@then("the second is a repeat, also after the task has ended")
-def step_repeat(context):
+@then("the second is a duplicate, also after the task has ended")
+def step_duplicate(context):
     assert context.second.is_duplicate and not context.second.is_allowed
     end(context)
     again = offer(context, make_start())
@@ -145,7 +145,7 @@
     offer(context, make_start(total=3, attempt=11), NOW + 0.5)
 
 
-@then("the later attempt passes")
+@then("the later attempt is allowed")
 def step_later_passes(context):
     assert context.decision.is_allowed
 
@@ -179,7 +179,7 @@
     offer(context, make_start(total=2))
 
 
-@when("more answers are recorded than there is room for")
+@when("more answers are recorded than there is space for")
 def step_many(context):
     context.book = RecordBook(600.0, 20 * RECORD_BYTES)
     for index in range(12):
@@ -201,9 +201,9 @@
     assert "no longer kept" in records[0].result.reason
 
 
-@when("{count:d} requests are recorded in a book with room for {room:d}")
-def step_forgotten(context, count, room):
-    context.book = RecordBook(600.0, room * RECORD_BYTES)
+@when("{count:d} requests are recorded in a book with space for {space:d}")
+def step_evicted(context, count, space):
+    context.book = RecordBook(600.0, space * RECORD_BYTES)
     for number in range(count):
         result = TaskResult(0, TaskOutcome.DONE, 200)
         record = Record(
--- a/features/steps/once_listening_steps.py
+++ b/features/steps/once_listening_steps.py
@@ -1,4 +1,4 @@
-"""Steps for entries that ask their cells for reports, on the reducers."""
+"""Steps for entries that request reports from cells, run on the reducers."""
 
 from behave import given, then, when
 
@@ -27,11 +27,11 @@
     step_cell(context)
     entry = context.bag.processes["tcp://entry-0"].state
     for number in range(129):
-        # Others that it has just heard from, and does so for ever.
+        # Other cells whose stamp never becomes old.
         other = CellView(f"other-{number}", owner="tcp://other")
         other.stamp_at = float("inf")
         entry.cells[other.cell] = other
-    # The next question of the slow pace is answered, and then it is quiet.
+    # Waits for the next regular request, so that the following one is far away.
     asked = view_of(context).subscribed_at
     context.bag.run_until(lambda: view_of(context).subscribed_at > asked, 8.0)
     context.bag.run(4.0)
@@ -61,9 +61,9 @@
 @then("it was answered within a round trip more than its task takes")
 def step_at_once(context):
     assert context.handed.reply.outcome is Outcome.ANSWERED
-    # Submit and answer, start and result, a witness; and the question before.
-    longest = 0.05 + 4 * ROUND_TRIP_S
-    assert context.handed.replied_at - context.handed.at < longest
+    # Submit and answer, start and result, a witness, and the report request before.
+    max_seconds = 0.05 + 4 * ROUND_TRIP_S
+    assert context.handed.replied_at - context.handed.at < max_seconds
 
 
 @when("a request of 600 ms is under way there and the owner dies")
@@ -86,15 +86,15 @@
     lost = []
 
     def fate(sender, receiver, message):
-        told = isinstance(message, CellReport) and message.workers is not None
-        if told and len(message.workers) > AGENTS and not lost:
+        has_workers = isinstance(message, CellReport) and message.workers is not None
+        if has_workers and len(message.workers) > AGENTS and not lost:
             lost.append(message)
             return []
         return [0.0005]
 
     context.bag.fate = fate
     context.bag.add_agent(f"worker-{AGENTS}")
-    assert context.bag.run_until(lambda: lost), "no report told of the worker"
+    assert context.bag.run_until(lambda: lost), "no report listed the worker"
 
 
 @then("the entry lists it 2 seconds later")
--- a/src/cactuswalk/state/configuration.py
+++ b/src/cactuswalk/state/configuration.py
@@ -1,9 +1,9 @@
-"""The copy of the configuration that each node holds, and how it spreads.
+"""The configuration replica of each node, and its synchronisation with other nodes.
 
-A copy is a set of changes: all up to ``revision``, and some later ones,
-``ahead``. Copies only ever grow by union, so messages may be lost, repeated or
-late, and no source can take a node back: not a slow watch, a peer with an
-older copy, or a service that has lost data.
+A replica is a set of changes: all up to ``revision``, and some later ones, ``ahead``.
+Replicas only grow by union. Messages may therefore be lost, repeated or delayed, and
+no source can revert a node: not a slow watch, a peer with an older replica, or a
+service that has lost data.
 """
 
 from collections.abc import Iterable
@@ -40,20 +40,21 @@
     "view_worker",
 ]
 
-# A lost request has to be repeated soon: waiting 0.5 s put the 99th percentile
-# at 0.6 s with 1% of frames lost, and at 2.2 s with 10% (tools/in_force.py). A
-# whole copy for the target's 8,300 workers is some megabytes and may be on its
-# way for longer; so the pause doubles, and few copies of it are sent.
+# A lost request has to be repeated soon: with a wait of 0.5 s, the 99th percentile was
+# 0.6 s at 1% lost frames and 2.2 s at 10% (tools/in_force.py). A full copy for the
+# target of 8,300 workers has some megabytes and may take longer to arrive; the wait
+# doubles, so that few copies of it are sent.
 INITIAL_WAIT_SECONDS = 0.08
 MAX_WAIT_SECONDS = 1.0
 
 
 class Applied(msgspec.Struct):
-    """What an update did to a replica.
+    """The result of an update of a replica.
 
-    :param objects: those that have changed, with their new values.
+    :param objects: objects that changed, with their new values.
     :param gap: the update builds on changes that the replica does not hold.
-    :param refused: objects that are older than this copy, or of another history.
+    :param refused: number of objects that are older than this replica, or belong to
+        another history.
     """
 
     objects: list[StoredObject]
@@ -62,7 +63,7 @@
 
 
 class Replica:
-    """The objects of the configuration by key, and the changes they contain."""
+    """The configuration objects by key, and the changes that they contain."""
 
     __slots__ = ("revision", "ahead", "objects")
 
@@ -72,14 +73,14 @@
         self.objects: dict[str, StoredObject] = {}
 
     def get(self, kind: str, name: str) -> OperatorObject | None:
-        """Return an object, None if there is none or it was deleted."""
+        """Return an object; None if it does not exist or was deleted."""
         stored = self.objects.get(f"{kind}/{name}")
         if stored is None or not stored.value:
             return None
         return decode_object(stored.value)
 
     def select(self, kind: str) -> list[OperatorObject]:
-        """Return all objects of a kind by name."""
+        """Return all objects of a kind, ordered by name."""
         prefix = f"{kind}/"
         return [
             decode_object(stored.value)
@@ -88,15 +89,15 @@
         ]
 
     def holds(self, revision: int) -> bool:
-        """Return whether a change is in force here."""
+        """Return whether a change is in force on this node."""
         return holds(self.revision, self.ahead, revision)
 
     def update(self, update: ConfigurationUpdate) -> Applied:
-        """Take what is new in an update; none of it if it leaves a gap.
+        """Apply the new objects of an update; none if it leaves a gap.
 
-        A gap must not be passed over: the node would say that it holds all up
-        to the update's revision while an earlier change never reached it, and
-        nobody would send that change again.
+        A gap must not be skipped: the node would report that it holds everything up
+        to the update's revision although it lacks an earlier change, and no node
+        would send that change again.
         """
         if update.since > self.revision:
             return Applied([], gap=True)
@@ -112,19 +113,19 @@
         return Applied(changed, refused=refused)
 
     def is_newer(self, stored: StoredObject) -> bool:
-        """Return whether an object holds a change that this copy lacks.
+        """Return whether an object holds a change that this replica lacks.
 
-        An unknown object of a revision up to this copy's own can only come
-        from a service that has lost data and counts from a lower revision
-        again. Taken over here, it would never reach the nodes that rightly
-        see no reason to ask for it.
+        An unknown object with a revision up to this replica's own can only come from
+        a service that has lost data and restarted from a lower revision. If it were
+        applied here, it would never reach other nodes, which have no reason to
+        request it.
         """
         held = self.objects.get(stored.key)
         newest = max(self.revision, held.revision if held else 0)
         return stored.revision > newest
 
     def since(self, revision: int) -> ConfigurationUpdate:
-        """Return all that a node which holds ``revision`` may lack."""
+        """Return all changes that a node with ``revision`` may lack."""
         start = min(revision, self.revision)
         objects = [one for one in self.objects.values() if one.revision > start]
         objects.sort(key=lambda one: one.revision)
@@ -135,29 +136,29 @@
         return ConfigurationOffer(self.revision, sorted(self.ahead))
 
     def is_missing(self, revision: int, ahead: Iterable[int] = ()) -> bool:
-        """Return whether another node holds a change that this one lacks."""
+        """Return whether a node with this state holds a change that this one lacks."""
         return revision > self.revision or not all(map(self.holds, ahead))
 
     def _replace(self, stored: StoredObject) -> None:
         """Put an object in force.
 
-        The check stands apart from the one that decides, so that a fault in
-        that one stops the node before it acts on an older configuration.
+        The check is independent of ``is_newer``, so that a fault there stops the
+        node before it acts on an older configuration.
         """
         held = self.objects.get(stored.key)
         if held is not None and stored.revision < held.revision:
             raise InvariantError(
-                f"{stored.key} would go back from revision {held.revision} to "
+                f"{stored.key} would revert from revision {held.revision} to "
                 f"{stored.revision}",
                 "Restart this process and report the fault with its log.",
             )
         self.objects[stored.key] = stored
 
     def _advance(self, revision: int, ahead: Iterable[int]) -> None:
-        """Add changes to those that are held."""
+        """Extend the set of changes held."""
         if revision < self.revision:
             raise InvariantError(
-                f"the configuration would go back from revision {self.revision} "
+                f"the configuration would revert from revision {self.revision} "
                 f"to {revision}",
                 "Restart this process and report the fault with its log.",
             )
@@ -166,47 +167,47 @@
 
 
 class ConfigurationSync:
-    """A replica's conversation with other nodes.
+    """Synchronises a replica with other nodes.
 
-    An entry offers what it holds to the owners, an owner sends it to its
-    agents, and whoever learns that another node holds more asks for it. Every
-    message may be lost: each is caused again by the next ping or report.
+    An entry offers its changes to the owners, an owner sends them to its agents, and
+    a node that learns that another one holds more requests it. Any message may be
+    lost: the next ping or report triggers it again.
     """
 
     __slots__ = ("replica", "asked", "asked_of", "asked_at", "pause")
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
-        # The revision that was last asked for, of whom, and when to ask again.
+        # The last request: revision, receiver, time, and the wait until it is repeated.
         self.asked = 0
         self.asked_of = ""
         self.asked_at = 0.0
         self.pause = 0.0
 
     def make_offers(self, addresses: Iterable[str]) -> list[Send]:
-        """Tell nodes what is in force here, in a few bytes each."""
+        """Return messages of a few bytes that offer this replica's state to nodes."""
         offer = self.replica.offer()
         return [Send(address, offer) for address in addresses]
 
     def offers_if_ahead(self, addresses: Iterable[str]) -> list[Send]:
-        """Return what has to go with a ping or a pong.
+        """Return the offers that have to accompany a ping or a pong.
 
-        These carry one revision. Changes ahead of it, whose place the service
-        went away too early to tell, would otherwise stop at the first node.
+        Pings and pongs carry only a revision. Changes ahead of it, whose order is
+        unknown because the service failed first, would not get past the first node.
         """
         return self.make_offers(addresses) if self.replica.ahead else []
 
     def make_updates(self, before: int, addresses: Iterable[str]) -> list[Send]:
-        """Send all changes after the revision ``before`` to nodes."""
+        """Return messages with all changes after the revision ``before``."""
         update = self.replica.since(before)
         return [Send(address, update) for address in addresses]
 
     def request_if_behind(
         self, sender: str, revision: int, now: float, ahead: Iterable[int] = ()
     ) -> list[Send]:
-        """Answer to what another node holds, as a ping or a report says.
+        """Return a request to another node if it holds more than this one.
 
-        :return: a request if it holds more.
+        :param revision: what that node holds, according to a ping, pong or offer.
         """
         if not self.replica.is_missing(revision, ahead):
             return []
@@ -217,11 +218,11 @@
         return [Send(sender, ConfigurationRequest(self.replica.revision))]
 
     def tick(self, now: float) -> list[Send]:
-        """Repeat a request whose answer has not come.
+        """Repeat a request without an answer.
 
-        The next ping would cause it too, but with one frame in ten lost, pings
-        every 250 ms put the 99th percentile above a second. What is not
-        answered in a few tries waits for a ping: the peer may be gone.
+        The next ping would repeat it too, but with one in ten frames lost, pings every
+        250 ms put the 99th percentile above a second. After a few repetitions it
+        waits for a ping, since the peer may be gone.
         """
         if self.replica.holds(self.asked) or self.pause >= MAX_WAIT_SECONDS:
             return []
@@ -230,12 +231,11 @@
     def on_offer(
         self, sender: str, offer: ConfigurationOffer, now: float
     ) -> list[Send]:
-        """Ask for what the sender holds, or offer what it lacks.
+        """Request what the sender holds, or offer what it lacks.
 
-        A node that lacks something itself never answers with an offer: two that
-        each lack a change of the other's would answer one another's offers
-        without end while both wait for an answer. The one that gets what it
-        asked for offers then.
+        A node that lacks a change never answers with an offer: two nodes that each
+        lack a change of the other's would exchange offers without end while both
+        wait for an answer. A node offers once it has what it requested.
         """
         mine = self.replica
         if mine.is_missing(offer.revision, offer.ahead):
@@ -246,7 +246,10 @@
         return [Send(sender, mine.offer())] if behind else []
 
     def on_request(self, sender: str, request: ConfigurationRequest) -> list[Send]:
-        """Answer a request; an empty answer would only cause another one."""
+        """Answer a request, unless the answer would be empty.
+
+        An empty answer would only cause another request.
+        """
         mine = self.replica
         if request.revision >= mine.revision and not mine.ahead:
             return []
@@ -255,7 +258,7 @@
     def on_update(
         self, sender: str, update: ConfigurationUpdate, now: float
     ) -> tuple[Applied, list[Send]]:
-        """Apply an update; ask for what it builds on where that is missing."""
+        """Apply an update; request the changes missing before it."""
         applied = self.replica.update(update)
         if not applied.gap:
             return applied, []
@@ -264,9 +267,9 @@
         )
 
     def _may_ask(self, wanted: int, now: float) -> bool:
-        """Note a request, unless the answer to an earlier one may be coming.
+        """Record a request, unless the answer to an earlier one may still arrive.
 
-        A request for less does not count: its answer would leave this node
+        An earlier request for less does not count: its answer would leave this node
         behind until the next ping.
         """
         if wanted > self.asked:
@@ -281,9 +284,9 @@
 
 
 class NodesInForce(msgspec.Struct):
-    """On how many of the known nodes a revision is in force.
+    """The number of known nodes on which a revision is in force.
 
-    :param lowest: revision up to which every node holds all.
+    :param lowest: revision up to which every node holds all changes.
     """
 
     revision: int
@@ -298,10 +301,10 @@
 
 
 def count_by_state(states: Iterable[tuple[int, Iterable[int]]]) -> list[NodeStateCount]:
-    """Count the nodes of a cell by what they hold.
+    """Count the nodes of a cell by the changes that they hold.
 
-    An owner folds its own state and its agents' last pongs; the result stays
-    short, since nodes differ only while a change is on its way.
+    An owner passes its own state and those in its agents' last pongs. The result is
+    short, since nodes differ only while a change spreads.
 
     :param states: a revision and the changes ahead of it, for each node.
     """
@@ -316,7 +319,7 @@
 
 
 def count_in_force(revision: int, cells: Iterable[list[NodeStateCount]]) -> NodesInForce:
-    """Add up over cells on how many nodes a revision is in force."""
+    """Count the nodes of all cells on which a revision is in force."""
     nodes = in_force = 0
     lowest: int | None = None
     for held in cells:
@@ -329,11 +332,11 @@
 
 
 class WorkerView(msgspec.Struct):
-    """A worker as operators have configured it.
+    """A worker as configured by operators.
 
-    :param announcement: with the operators' labels over the announced ones.
-    :param may_serve: the service's selector lets this worker serve it.
-    :param reason: why it gets no work, empty where it does.
+    :param announcement: announcement with the operators' labels merged into it.
+    :param may_serve: whether the service's selector matches the worker.
+    :param reason: why it gets no work; empty if it gets work.
     """
 
     announcement: Announcement
@@ -343,9 +346,9 @@
 
 
 def view_worker(replica: Replica, announcement: Announcement) -> WorkerView:
-    """Return what the configuration in force makes of an announcement.
+    """Apply the configuration in force to an announcement.
 
-    A service or a worker without an object is not limited by operators.
+    A service or a worker without a configuration object is not restricted.
     """
     entry = replica.get("worker", announcement.worker)
     service = replica.get("service", announcement.service)
--- a/src/cactuswalk/state/copying.py
+++ b/src/cactuswalk/state/copying.py
@@ -1,4 +1,4 @@
-"""Records that leave their agent: handed to a new owner, copied for another."""
+"""Records that an agent sends to a new owner, or keeps as copies for other agents."""
 
 import math
 
@@ -23,13 +23,13 @@
 
 __all__ = ["MAX_RECORDS_PER_PART", "on_adopt", "on_fence", "on_witness"]
 
-# Records in one message. At some 200 bytes each without a body this is 40 KB,
-# which holds up neither end's loop for more than a few milliseconds.
+# Records in one message. At some 200 bytes each without a body this is 40 KB, which
+# blocks the event loop of either process for no more than a few milliseconds.
 MAX_RECORDS_PER_PART = 200
 
 
 def on_fence(state: AgentState, sender: str, fence: Fence, now: float) -> None:
-    """A new owner has taken the cell: end the old epochs, hand out records."""
+    """Accept the epoch of a new owner, and send it the records of this agent."""
     gate = state.gate
     earlier = gate.epoch
     if not accept_epoch(gate, fence.epoch, fence.owner):
@@ -59,7 +59,7 @@
 
 
 def _collect_records(state: AgentState, now: float) -> None:
-    """Take the records for a new owner as they stand, and how far they reach."""
+    """Take a snapshot of the records for a new owner, and the period it covers."""
     since = now - state.lookback
     records = state.gate.records
     state.fenced_records = records.changed_since(since) + state.copies.changed_since(
@@ -69,19 +69,19 @@
 
 
 def on_witness(state: AgentState, sender: str, witness: Witness, now: float) -> None:
-    """The owner starts a task beside itself: keep its record here too."""
+    """Keep a copy of the record of a task that the owner starts on its own host."""
     gate = state.gate
-    young = now * 1000 - witness.stamp <= gate.confirm * 1000
+    is_recent = now * 1000 - witness.stamp <= gate.confirm * 1000
     if (
         witness.epoch != gate.epoch
         or witness.incarnation != gate.member.incarnation
-        or not young
+        or not is_recent
     ):
         state.effects.append(Count("agent.witness.refused"))
         return
     _keep_copy(state, witness.record, now)
     record = witness.record
-    seen = Witnessed(
+    witnessed = Witnessed(
         state.cell,
         gate.epoch,
         gate.member.incarnation,
@@ -89,7 +89,7 @@
         record.index,
         record.attempt,
     )
-    state.effects.append(Send(sender, seen))
+    state.effects.append(Send(sender, witnessed))
 
 
 def on_adopt(
@@ -106,6 +106,6 @@
 
 
 def _keep_copy(state: AgentState, record: Record, now: float) -> None:
-    """Keep a copy of a record unless more is known here already."""
+    """Keep a copy of a record unless the copy kept here is newer."""
     kept = state.copies.get(record.submission, record.index)
     state.copies.put(record if kept is None else newer(kept, record), now)
--- a/src/cactuswalk/state/effects.py
+++ b/src/cactuswalk/state/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what a reducer wants done, as data; the runtime does it."""
+"""Effects that reducers request as data and the runtime carries out."""
 
 import msgspec
 
@@ -26,14 +26,14 @@
 
 
 class Send(msgspec.Struct, array_like=True):
-    """Send a message to a process, by its address."""
+    """Send a message to the process at an address."""
 
     address: str
     message: Message
 
 
 class CallUpstream(msgspec.Struct):
-    """Call the upstream for a task; ends in an ``UpstreamAnswered`` event."""
+    """Call the upstream for a task; completes with ``UpstreamAnswered``."""
 
     submission: str
     index: int
@@ -44,7 +44,7 @@
 
 
 class StopUpstream(msgspec.Struct):
-    """Ask the upstream to stop a task that has started."""
+    """Ask the upstream to stop a started task."""
 
     submission: str
     index: int
@@ -52,9 +52,9 @@
 
 
 class ControlUpstream(msgspec.Struct):
-    """Ask the upstream to throttle a running task, or to save it.
+    """Ask the upstream to throttle a running task, or to checkpoint it.
 
-    :param factor: by which a throttled task is slowed; 1 lifts it.
+    :param factor: slowdown of a throttled task; 1 lifts the throttle.
     """
 
     submission: str
@@ -65,7 +65,7 @@
 
 
 class Reply(msgspec.Struct):
-    """Answer the callers who wait for a submission at this entry."""
+    """Answer a caller that waits for a submission at this entry."""
 
     waiter: str
     submission: str
@@ -75,21 +75,21 @@
 
 
 class ReplyState(msgspec.Struct):
-    """Tell a caller where a submission stands; None if no owner answered."""
+    """Answer a caller's query for a submission; None if no owner replied."""
 
     request: str
     state: JobState | None
 
 
 class ReplyExplanation(msgspec.Struct):
-    """Tell an operator where a job could be placed, by cell."""
+    """Answer an operator's query where a job could be placed, by cell."""
 
     request: str
     cells: list[Explanation]
 
 
 class ReadKey(msgspec.Struct):
-    """Read a key of the key-value service; ends in ``KeyRead``."""
+    """Read a key of the key-value service; completes with ``KeyRead``."""
 
     key: str
 
@@ -97,10 +97,10 @@
 class SwapKey(msgspec.Struct):
     """Write a key if its revision is still the expected one.
 
-    Ends in ``KeySwapped`` with the same ``write_id``, which is also in the
-    value, so that the client can read back a write whose reply was lost.
+    Completes with ``KeySwapped`` and the same ``write_id``. The value contains it
+    too, so that the client can recognise its own write after a lost reply.
 
-    :param expected: revision of the key's last change; 0 for no key.
+    :param expected: revision of the key's last change; 0 if it must not exist.
     """
 
     key: str
--- a/src/cactuswalk/state/entry.py
+++ b/src/cactuswalk/state/entry.py
@@ -1,8 +1,7 @@
-"""The reducer of an entry: callers on one side, owners of cells on the other.
+"""The reducer of an entry, which connects callers with the owners of cells.
 
-An entry keeps nothing that an answer depends on. What it knows of a submission
-is who waits for it here and where it was sent; another entry can take a
-resubmission over at any time.
+An entry keeps no state that an answer depends on, only who waits for a submission
+and where it was sent. A resubmission can therefore go to any other entry.
 """
 
 import random
@@ -78,7 +77,7 @@
     wall_ms: float,
     peers: Sequence[str] = (),
 ) -> EntryState:
-    """Return the state of an entry that has just been started."""
+    """Return the initial state of an entry."""
     sync = ConfigurationSync(Replica())
     state = EntryState(address, timing, generator, wall_ms, sync, list(peers))
     state.attempt = generator.getrandbits(40)
@@ -87,7 +86,7 @@
 
 
 def handle_entry(state: EntryState, event: Event, now: float) -> list[Effect]:
-    """Take one event and return what is to be done."""
+    """Handle one event and return the resulting effects."""
     if isinstance(event, Received):
         handle_message = _ON_MESSAGE.get(type(event.message))
         if handle_message is not None:
--- a/src/cactuswalk/state/entryview.py
+++ b/src/cactuswalk/state/entryview.py
@@ -1,4 +1,4 @@
-"""What an entry knows: of cells, of submissions, of questions."""
+"""The state of an entry: cells, pending submissions and pending queries."""
 
 import random
 
@@ -41,30 +41,29 @@
     "refuse_waiter",
 ]
 
-# A caller that comes back after a takeover finds an owner.
+# Long enough for a takeover to end, so that a caller that retries finds an owner.
 RETRY_WITHOUT_OWNER_MS = 3000
-# A takeover ends within this; until then a submission waits for its owner. Counted
-# from when the owner fell silent: where half of a cell is gone for good, those who
-# come later would wait for nothing, each up to its deadline.
+# A takeover ends within this time; until then a submission waits for its owner. It is
+# counted from when the owner became silent, not from the submission: when half of a
+# cell is permanently lost, later submissions would each wait until their deadline.
 MAX_OWNER_WAIT_SECONDS = 6.0
 
 
 class CellView(msgspec.Struct):
-    """What an entry knows of one cell.
+    """An entry's view of one cell.
 
-    :param owner: address of its owner, empty while it is not known.
-    :param holdings: which submissions fall to it, as far as is known here; an
-        owner that doesn't hold one says so.
-    :param retired: an operator has said that its hosts are gone for good.
+    :param owner: address of its owner, empty while unknown.
+    :param holdings: which submissions belong to the cell, as far as known here; an
+        owner reports one that it does not hold.
+    :param retired: an operator has declared its hosts permanently lost.
     :param record_unreadable: the key-value service gave no answer when its record
         was last read; then no process can take the cell over either.
-    :param stamp_at: when the owner's latest stamp came here.
-    :param silent_since: since when its owner has been silent, None while it
-        is heard.
-    :param accepts_keys_at: from when on it takes keys that callers chose.
-    :param subscribed_at: when it was last asked for a report; ``unanswered_since``
-        the first time of those that nothing has answered.
-    :param serial: of ``workers``, for its owner's epoch.
+    :param stamp_at: when the owner's latest stamp was received.
+    :param silent_since: since when its owner has been silent, None if it is not.
+    :param accepts_keys_at: when it starts to accept keys that callers chose.
+    :param subscribed_at: when a report was last requested; ``unanswered_since`` is
+        when the first request without a reply was sent.
+    :param serial: version of ``workers`` within its owner's epoch.
     """
 
     cell: str
@@ -90,12 +89,14 @@
 class Pending(msgspec.Struct):
     """A submission that callers wait for at this entry.
 
-    :param attempts: every attempt sent, so that a late answer to one of them
-        is recognised; all of one submission have the same answer.
-    :param sent: whether it was sent to anybody who has not said that it does
-        not hold it.
-    :param hops: how often it was sent on since a cell was last chosen.
-    :param moved_at: when it was sent on from a cell that doesn't hold it.
+    :param attempts: every attempt sent, so that a late answer to one of them is
+        recognised; all attempts of a submission have the same answer.
+    :param sent: whether it was sent to a process that has not denied holding it.
+    :param last_sign_at: when it was last sent, queried or reported on.
+    :param query_after: time without a sign of it after which its owner is queried.
+    :param minted: this entry made the identifier.
+    :param hops: number of forwards since a cell was last chosen.
+    :param moved_at: when it was forwarded from a cell that does not hold it.
     """
 
     job: Job
@@ -115,9 +116,9 @@
 
 
 class PendingStateQuery(msgspec.Struct):
-    """A caller's question where a submission stands.
+    """A caller's query for the state of a submission.
 
-    :param owners: how many owners have yet to answer.
+    :param owners: number of owners that have not replied yet.
     """
 
     until: float
@@ -125,9 +126,9 @@
 
 
 class PendingExplain(msgspec.Struct):
-    """An operator's question where a job could be placed.
+    """An operator's query where a job could be placed.
 
-    :param owners: how many owners have yet to answer.
+    :param owners: number of owners that have not replied yet.
     """
 
     until: float
@@ -136,16 +137,15 @@
 
 
 class EntryState(msgspec.Struct):
-    """All that an entry knows.
+    """State of an entry.
 
-    :param wall_ms: wall clock less monotonic clock; only ages of identifiers
-        rest on it.
-    :param attempt: number of the last submit sent; starts at random, so that a
-        restarted entry at the same address does not repeat one.
+    :param wall_ms: wall clock minus monotonic clock; used only for ages of keys.
+    :param attempt: number of the last submit sent. Starts at a random number, so
+        that a restarted entry at the same address does not reuse one.
     :param sync: this entry's copy of the configuration.
-    :param peers: addresses of processes to learn the configuration from.
-    :param held: by cell, what its nodes have in force, as its owner says.
-    :param pending_queries: questions of callers that owners have not answered yet.
+    :param peers: addresses of processes to exchange the configuration with.
+    :param held: what the nodes of each cell have in force, as its owner reports.
+    :param pending_queries: callers' queries that owners have not answered yet.
     """
 
     address: str
@@ -166,21 +166,21 @@
 
 
 def last_attempt(pending: Pending) -> int:
-    """Return the attempt that was sent last."""
+    """Return the number of the last attempt sent."""
     return max(pending.attempts, default=0)
 
 
 def outcome_if_unsent(minted: bool) -> Outcome:
-    """Return what is true of a submission that this entry has sent to nobody.
+    """Return the outcome of a submission that this entry has not sent.
 
-    A caller's own key may have been submitted before, through another entry,
-    and have run: then only an owner can say "not run".
+    A key that the caller chose may have been submitted through another entry and
+    have run; for it only an owner can say "not run".
     """
     return Outcome.NOT_RUN if minted else Outcome.UNKNOWN
 
 
 def make_no_owner_refusal(view: CellView) -> Refusal:
-    """Return the refusal of what has waited in vain for the owner of a cell."""
+    """Return the refusal for a cell that has had no owner for too long."""
     return Refusal(
         RefusalCode.NO_OWNER,
         f"cell {view.cell} has had no owner for {MAX_OWNER_WAIT_SECONDS:.0f} s",
@@ -189,14 +189,14 @@
 
 
 def key_age_ms(state: EntryState, job: Job, now: float) -> float:
-    """Return how long ago a submission's key was born, by this wall clock."""
+    """Return the age of a submission's key by this process's wall clock."""
     return now * 1000 + state.wall_ms - job.created_ms
 
 
 def refuse_pending(
     state: EntryState, pending: Pending, outcome: Outcome, refusal: Refusal
 ) -> None:
-    """Answer all who wait, without the owner's word."""
+    """Refuse a submission to all its waiters, without an answer of the owner."""
     del state.pending[pending.job.submission]
     for waiter in pending.waiters:
         refuse_waiter(state, waiter, pending.job.submission, outcome, refusal)
@@ -209,7 +209,7 @@
     outcome: Outcome,
     refusal: Refusal,
 ) -> None:
-    """Answer one who waits without an answer to the submission."""
+    """Reply to one waiter with a refusal instead of an answer."""
     log(
         state,
         "refused a caller",
@@ -222,5 +222,5 @@
 
 
 def log(state: EntryState, sentence: str, **fields: object) -> None:
-    """Have a log line written."""
+    """Add a log line to the effects."""
     state.effects.append(Log(Part.ENTRY, sentence, fields))
--- a/src/cactuswalk/state/events.py
+++ b/src/cactuswalk/state/events.py
@@ -1,4 +1,4 @@
-"""Events: what a reducer is told; each is handled by one named function."""
+"""Events that the reducers handle, each in one named function."""
 
 import enum
 
@@ -30,26 +30,26 @@
 
 
 class Received(msgspec.Struct):
-    """A message has come from the process at ``sender``."""
+    """A message from the process at ``sender`` was received."""
 
     sender: str
     message: Message
 
 
 class Tick(msgspec.Struct):
-    """Time has passed; sent every 50 ms by the runtime."""
+    """The clock advanced; sent every 50 ms by the runtime."""
 
 
 class StopRequested(msgspec.Struct):
-    """The process is to stop as planned: finish, hand over, leave."""
+    """A planned stop: finish the work, hand over and leave."""
 
 
 class CallerSubmitted(msgspec.Struct):
-    """A caller has handed in a checked job at this entry.
+    """A caller submitted a validated job at this entry.
 
-    :param waiter: names the waiting HTTP request; the ``Reply`` repeats it.
+    :param waiter: identifies the waiting HTTP request; repeated in the ``Reply``.
     :param minted: the entry made the identifier itself.
-    :param remaining_ms: until the caller's deadline.
+    :param remaining_ms: time until the caller's deadline.
     """
 
     waiter: str
@@ -59,16 +59,16 @@
 
 
 class CallerCancelled(msgspec.Struct):
-    """A caller wants a submission stopped."""
+    """A caller cancelled a submission."""
 
     submission: str
 
 
 class CallerQueried(msgspec.Struct):
-    """A caller wants to know where a submission stands.
+    """A caller queried the state of a submission.
 
-    :param request: names the question; the ``ReplyState`` repeats it.
-    :param service: whose cells to ask; empty for all.
+    :param request: identifies the query; repeated in the ``ReplyState``.
+    :param service: service whose cells to ask; empty for all cells.
     """
 
     request: str
@@ -77,23 +77,23 @@
 
 
 class ExplainRequested(msgspec.Struct):
-    """An operator wants to know where a job could be placed."""
+    """An operator asked where a job could be placed."""
 
     request: str
     job: Job
 
 
 class CallerDisconnected(msgspec.Struct):
-    """The caller's connection is closed; nobody waits at ``waiter`` now."""
+    """The caller's connection is closed; ``waiter`` no longer waits."""
 
     waiter: str
 
 
 class UpstreamOutcome(enum.StrEnum):
-    """What a call to an upstream came to.
+    """The outcome of a call to an upstream.
 
-    ``NOT_SENT`` is certain: no byte of the request had left. ``UNCERTAIN`` is
-    everything else that is no whole answer.
+    ``NOT_SENT`` is certain: no byte of the request was sent. ``UNCERTAIN`` is any
+    other call without a complete answer.
     """
 
     ANSWERED = "answered"
@@ -102,7 +102,7 @@
 
 
 class UpstreamAnswered(msgspec.Struct):
-    """A call to the upstream has ended.
+    """A call to the upstream ended.
 
     :param status: HTTP status; 0 unless the outcome is ``answered``.
     """
@@ -117,9 +117,9 @@
 
 
 class TaskUsage(msgspec.Struct):
-    """What one task used when its upstream looked.
+    """Memory use of one task, as measured by its upstream.
 
-    :param checkpoints: the upstream can save it and go on later.
+    :param checkpoints: the upstream can save the task and resume it later.
     """
 
     submission: str
@@ -130,22 +130,23 @@
 
 
 class UsageReported(msgspec.Struct):
-    """The upstream has reported what its tasks use; about a second old."""
+    """The upstream reported the memory use of its tasks about a second ago."""
 
     usages: list[TaskUsage]
 
 
 class Announced(msgspec.Struct):
-    """The upstream has announced itself, or withdrawn (None)."""
+    """The upstream announced itself, or withdrew (None)."""
 
     announcement: Announcement | None
 
 
 class KeyRead(msgspec.Struct):
-    """A read has ended.
+    """A read of a key ended.
 
-    :param known: False if the service gave no answer; then the rest is void.
-    :param value: None if there is no such key.
+    :param known: False if the service did not answer; the other fields are then
+        not valid.
+    :param value: None if the key does not exist.
     """
 
     key: str
@@ -155,7 +156,7 @@
 
 
 class SwapOutcome(enum.StrEnum):
-    """What became of a swap; ``UNKNOWN`` may turn out to have applied later."""
+    """The outcome of a swap; an ``UNKNOWN`` one may have been or may yet be applied."""
 
     APPLIED = "applied"
     LOST = "lost"
@@ -163,9 +164,9 @@
 
 
 class KeySwapped(msgspec.Struct):
-    """A swap has ended.
+    """A swap ended.
 
-    :param revision: of the key after an applied swap.
+    :param revision: revision of the key after an applied swap.
     """
 
     key: str
@@ -175,7 +176,7 @@
 
 
 class ConfigurationChanged(msgspec.Struct):
-    """The key-value service's watch has brought changes."""
+    """The watch of the key-value service delivered changes."""
 
     update: ConfigurationUpdate
 
--- a/src/cactuswalk/state/flights.py
+++ b/src/cactuswalk/state/flights.py
@@ -1,4 +1,4 @@
-"""Results, declines and losses of attempts that were sent."""
+"""Results, declines and losses of in-flight attempts, handled by the owner."""
 
 import msgspec
 
@@ -26,7 +26,7 @@
 
 
 def on_result(state: OwnerState, sender: str, message: Result, now: float) -> None:
-    """A task has ended at an agent."""
+    """Record the result of a task that ended at an agent."""
     place = (message.submission, message.index)
     flight = land(state, message.incarnation, *place, message.attempt)
     if flight is not None:
@@ -56,10 +56,10 @@
     result: TaskResult,
     now: float,
 ) -> None:
-    """Take the end of an attempt: the task's end, unless another may answer it."""
+    """Record the end of an attempt; it ends the task unless another may answer it."""
     task = tracked.tasks[result.index]
     if not attempts.is_current(task, incarnation, attempt):
-        # An earlier attempt's answer must not pass for this one's.
+        # The result of an earlier attempt must not count for the current one.
         state.count("result.stale")
         return
     if result.outcome is not TaskOutcome.DONE:
@@ -75,7 +75,7 @@
 
 
 def on_declined(state: OwnerState, sender: str, message: Declined, now: float) -> None:
-    """An agent gives its word that an attempt did not and won't start."""
+    """Handle an agent's statement that an attempt has not started and never will."""
     if message.epoch > state.record.epoch:
         state.deposed = True
         return
@@ -83,8 +83,8 @@
     peer = state.peers.get(message.incarnation)
     flight = peer.flights.get(place) if peer is not None else None
     if flight is None or flight.attempt != message.attempt:
-        # Only the life of the agent that was sent the attempt can speak for
-        # it: a restarted agent knows nothing of what ran before.
+        # Only the incarnation of the agent that was sent the attempt can decline
+        # it: a restarted agent does not know what ran before.
         state.count("decline.stale")
         return
     del peer.flights[place]
@@ -115,12 +115,12 @@
 
 
 def on_running(state: OwnerState, sender: str, message: Running, now: float) -> None:
-    """A probed attempt is running; its result will come."""
+    """Count a probed attempt that is still running; its result follows."""
     state.count("probe.running")
 
 
 def abandon_flights(state: OwnerState, peer: Peer, reason: str, now: float) -> None:
-    """Settle what was placed at a member that is gone: nobody can tell of it."""
+    """End the attempts placed at a lost member, which nobody can report on."""
     for submission, index in list(peer.flights):
         flight = peer.flights.pop((submission, index))
         state.scheduler.record_result(submission, index, flight.worker, False, 0, now)
@@ -138,7 +138,7 @@
 
 
 def _update_recovered(state: OwnerState, message: Result, now: float) -> None:
-    """Bring a recovered record up to date, for a later resubmission."""
+    """Update a recovered record, for a later resubmission."""
     record = state.recovered.get(message.submission, message.index)
     if record is None or record.attempt != message.attempt:
         return
@@ -158,10 +158,10 @@
 
 
 def _decline_recovered(state: OwnerState, message: Declined, now: float) -> None:
-    """Take back a recovered record of an attempt that never started.
+    """Mark a recovered record of an attempt that never started as declined.
 
-    A witness keeps a record of a start that its owner may not have sent any
-    more. A resubmission would be told unknown of a task that did not run.
+    A witness keeps a record of a start that its owner may not have sent. Otherwise
+    a resubmission would get "unknown" for a task that did not run.
     """
     record = state.recovered.get(message.submission, message.index)
     if record is not None and record.attempt == message.attempt:
--- a/src/cactuswalk/state/gate.py
+++ b/src/cactuswalk/state/gate.py
@@ -1,9 +1,9 @@
-"""The gate beside a worker: the only way to start anything there.
+"""The gate of an agent, which decides whether a task may start at its worker.
 
-What goes wrong without it: a second owner, a copy of a message that the network
-held back, or an owner that slept past its standing starts a task again, and a
-seat is given to two pupils. A start passes only with the epoch that this agent
-last confirmed, a young stamp of its own, and no record of the task.
+It prevents duplicate starts by a second owner, by a delayed copy of a message, or by
+an owner that was suspended until its confirmation had expired; a seat would be given
+to two pupils. A start is allowed only with the epoch that this agent last confirmed,
+a recent stamp of its own and no record of the task.
 """
 
 import msgspec
@@ -17,12 +17,12 @@
 
 
 class Gate(msgspec.Struct):
-    """What the gate of one agent knows.
+    """State of one agent's gate.
 
-    :param epoch: highest epoch seen; it never goes down.
-    :param owner: of that epoch, None until it has spoken.
-    :param running: starts in progress, by (submission, index).
-    :param slots: of the announced upstream; 0 while there is none.
+    :param epoch: highest epoch seen; never decreases.
+    :param owner: owner in that epoch, None until it was heard from.
+    :param running: attempts in progress, by (submission, index).
+    :param slots: slots of the announced upstream; 0 while there is none.
     """
 
     member: Member
@@ -36,10 +36,10 @@
 
 
 class StartDecision(msgspec.Struct):
-    """Whether a start may pass.
+    """Whether a start is allowed.
 
-    :param repeat: the start is a copy of one that has passed; say nothing new.
-    :param reason: why it is declined, empty if it passes.
+    :param is_duplicate: the start is a copy of one that was allowed; it is ignored.
+    :param reason: why it is declined, empty if it is allowed.
     """
 
     is_allowed: bool
@@ -48,7 +48,7 @@
 
 
 def accept_epoch(gate: Gate, epoch: int, owner: Member) -> bool:
-    """Take note of an owner's epoch; tell whether it is the one in force.
+    """Record an owner's epoch unless it is lower; return whether it is in force.
 
     :raises InvariantError: if one epoch has two owners.
     """
@@ -67,17 +67,19 @@
 
 
 def check_start(gate: Gate, start: Start, now: float) -> StartDecision:
-    """Decide on a start, without changing anything."""
+    """Decide on a start without changing any state."""
     if start.incarnation != gate.member.incarnation:
-        return StartDecision(False, reason="meant for another life of this agent")
+        return StartDecision(False, reason="sent to another incarnation of this agent")
     if start.epoch != gate.epoch:
         return StartDecision(
-            False, reason=f"epoch {start.epoch}, in force {gate.epoch}"
+            False, reason=f"epoch {start.epoch}, but {gate.epoch} is in force"
         )
     record = gate.records.get(start.submission, start.index)
     if record is not None and not _may_follow(record, start):
         is_duplicate = record.state is not TaskState.DECLINED
-        return StartDecision(False, is_duplicate=is_duplicate, reason="declined before")
+        return StartDecision(
+            False, is_duplicate=is_duplicate, reason="already declined"
+        )
     return _check_circumstances(gate, start, now)
 
 
@@ -92,12 +94,12 @@
     if len(gate.running) >= gate.slots:
         return StartDecision(False, reason=f"all {gate.slots} slots are taken")
     if not gate.records.has_room():
-        return StartDecision(False, reason="no room for another record")
+        return StartDecision(False, reason="the record book is full")
     return StartDecision(True)
 
 
 def _may_follow(record: Record, start: Start) -> bool:
-    """Tell whether a start may pass though its task has a record here."""
+    """Return whether a start is allowed although its task has a record here."""
     if start.attempt <= record.attempt:
         return False
     if record.state is TaskState.DECLINED:
@@ -106,9 +108,9 @@
 
 
 def record_start(gate: Gate, start: Start, now: float) -> None:
-    """Record a start that has passed, before anything is sent to the upstream.
+    """Record an allowed start, before anything is sent to the upstream.
 
-    :raises InvariantError: if the task is running or has run and may not again.
+    :raises InvariantError: if the task is running, or has run and must not again.
     """
     place = (start.submission, start.index)
     earlier = gate.records.get(*place)
@@ -123,10 +125,10 @@
 
 
 def record_decline(gate: Gate, start: Start, now: float) -> None:
-    """Make sure that a declined attempt never starts here.
+    """Record that an attempt was declined, so that it never starts here.
 
-    Without it, a repeated copy of the declined start could pass a moment later,
-    when a slot is free again, while the owner has placed the task elsewhere.
+    Otherwise a duplicate of the declined start could be allowed a moment later,
+    when a slot is free again, although the owner has placed the task elsewhere.
     """
     if start.incarnation != gate.member.incarnation:
         return
--- a/src/cactuswalk/state/guarding.py
+++ b/src/cactuswalk/state/guarding.py
@@ -1,11 +1,12 @@
-"""The guard beside a worker: late reports of use in, wishes to the upstream out.
+"""The memory guard of a worker: turns usage reports into requests to the upstream.
 
 Load pattern: a task takes ten times its declared memory among seven others. Without
-this the operating system ends one of them, and not always the guilty one; its outcome
-is unknown, and a seat check may not be asked again. Stopped by the guard, the guilty
-one answers its call itself, so that it is told truly: it ran and failed.
+the guard the operating system kills one of them, not always the one at fault; its
+outcome is unknown, and a seat check must not be repeated. A task stopped by the guard
+ends its own call, so that its outcome is known: it ran and failed.
 
-``decisions.guard`` judges; this module knows what runs here, and how old a report is.
+``decisions.guard`` chooses the actions; this module tracks which tasks run here and
+allows for the age of the reports.
 """
 
 import msgspec
@@ -25,26 +26,26 @@
 
 __all__ = ["Guard", "GuardedTask", "on_usage_report", "add_task", "remove_task"]
 
-# A throttled task gets half of the processor time: it grows half as fast, and its
-# caller, whose deadline is a few run times away, may still get an answer.
+# A throttled task gets half of the processor time: its memory grows half as fast, and
+# it may still meet its deadline, which is usually a few run times away.
 THROTTLE_FACTOR = 2.0
 
-# A stop takes up to two seconds to arrive (the call's time-out), and reports are a
-# second old. Until then the memory of a stopped task still shows in them, and a second
-# task would be stopped for what the first has given back.
+# A stop takes up to two seconds to arrive (the timeout of the call), and reports are a
+# second old. Until then reports still include the memory of a stopped task, and a
+# second task would be stopped for memory that the first has already released.
 STOP_SETTLES_SECONDS = 3.0
 
-# An upstream that was asked this often to save a task, and still reports its memory,
-# does not save it.
+# An upstream that was asked this often to checkpoint a task, and still reports its
+# memory, is taken not to checkpoint it.
 MAX_CHECKPOINTS = 2
 
 
 class GuardedTask(msgspec.Struct):
-    """A task that runs here, as its caller declared it, and what was done to it.
+    """A running task as its caller declared it, and the actions taken on it.
 
-    :param checkpoints: how often its upstream was asked to save it.
-    :param stopped_at: when it was last asked to stop it, None for never.
-    :param reason: of the stop, for its outcome.
+    :param checkpoints: how often its upstream was asked to checkpoint it.
+    :param stopped_at: when its upstream was last asked to stop it, None for never.
+    :param reason: reason of the stop, for the result.
     """
 
     attempt: int
@@ -57,20 +58,20 @@
 
 
 class Guard(msgspec.Struct):
-    """What the guard of one agent knows, by (submission, index)."""
+    """State of one agent's guard: running tasks by (submission, index)."""
 
     tasks: dict[tuple[str, int], GuardedTask] = {}
 
 
 def add_task(guard: Guard, start: Start) -> None:
-    """Take note of a task that starts here."""
+    """Add a task that starts here."""
     guard.tasks[start.submission, start.index] = GuardedTask(
         start.attempt, start.task.memory_mb, start.idempotent
     )
 
 
 def remove_task(guard: Guard, submission: str, index: int) -> str:
-    """Forget a task that has ended; return why it was stopped, empty if it wasn't."""
+    """Remove a task that ended; return why it was stopped, empty if it wasn't."""
     task = guard.tasks.pop((submission, index), None)
     return task.reason if task is not None else ""
 
@@ -78,10 +79,10 @@
 def on_usage_report(
     guard: Guard, usages: list[TaskUsage], capacity: Capacity, worker: str, now: float
 ) -> list[Effect]:
-    """Judge a report of what the tasks here use; return what is to be done.
+    """Choose actions for a usage report and return them as effects.
 
-    What has ended since, or is another attempt of the same task, is left out: a
-    report is about a second old, and its wish would hit the wrong one.
+    Tasks that have ended since, or run as another attempt, are skipped: a report is
+    about a second old, and an action would affect the wrong attempt.
     """
     places = {}
     for usage in usages:
@@ -128,7 +129,7 @@
         task.checkpoints += 1
         effect = ControlUpstream(*place, action)
     else:
-        # Sent again with each report while it holds: the last one may be lost.
+        # Sent again with each report while it applies, since a request may be lost.
         task.throttled = action is GuardAction.THROTTLE
         factor = THROTTLE_FACTOR if task.throttled else 1.0
         effect = ControlUpstream(*place, GuardAction.THROTTLE, factor)
@@ -142,12 +143,12 @@
         "used_mb": usage.used_mb,
         "declared_mb": task.declared_mb,
     }
-    log = Log(Part.AGENT, "guards its worker's memory", fields)
+    log = Log(Part.AGENT, "memory guard acts on a task", fields)
     return [Count(f"agent.guard.{done}"), log, effect]
 
 
 def _settles(other: GuardedTask, task: GuardedTask, now: float) -> bool:
-    """Return whether another task was stopped and may not yet be gone."""
+    """Return whether another task was stopped and may still hold its memory."""
     if other is task or other.stopped_at is None:
         return False
     return now - other.stopped_at < STOP_SETTLES_SECONDS
--- a/src/cactuswalk/state/inquiries.py
+++ b/src/cactuswalk/state/inquiries.py
@@ -1,4 +1,4 @@
-"""Questions to the owner: where a submission stands, where a job could go."""
+"""Queries to the owner: the state of a submission, and where a job would fit."""
 
 import msgspec
 
@@ -22,21 +22,21 @@
 
 
 def on_query(state: OwnerState, sender: str, query: Query, now: float) -> None:
-    """An entry asks where a submission stands."""
+    """Reply to an entry with the state of a submission."""
     if state.phase is Phase.RECOVERING:
         return
     state.send(sender, make_job_state(state, query, sender))
 
 
 def on_explain(state: OwnerState, sender: str, explain: Explain, now: float) -> None:
-    """Say where a job could be placed now."""
+    """Reply with the workers where a job could be placed now."""
     found = state.scheduler.explain(explain.job, now)
     verdicts = [Verdict(one.worker, one.fits, one.verdict) for one in found]
     state.send(sender, Explanation(explain.request, state.cell, verdicts))
 
 
 def make_job_state(state: OwnerState, query: Query, sender: str) -> JobState:
-    """Return where a submission stands, from the ledger or from records."""
+    """Return the state of a submission, from the ledger or from records."""
     tracked = find_submission(state, query.submission)
     if tracked is None:
         tracked = _from_records(state, query.submission)
@@ -61,10 +61,10 @@
 
 
 def _is_ahead(tracked: Tracked, query: Query, sender: str) -> bool:
-    """Tell whether an entry asks after a try that has yet to come here.
+    """Return whether an entry queries an attempt that has not arrived here yet.
 
-    An earlier try was refused; this one may run when it comes. Were the refusal
-    given for it, its caller would be told "not run" of what starts a moment later.
+    An earlier attempt was refused, but this one may run when it arrives. If it got
+    the same refusal, its caller would be told "not run" and it could start after.
     """
     if query.request or tracked.answer is None:
         return False
@@ -73,7 +73,7 @@
 
 
 def _from_records(state: OwnerState, submission: str) -> Tracked | None:
-    """Rebuild an entry of the ledger that nobody has resubmitted."""
+    """Rebuild the ledger entry of a submission that was not resubmitted."""
     records = state.recovered.of(submission)
     if not records:
         return None
--- a/src/cactuswalk/state/node.py
+++ b/src/cactuswalk/state/node.py
@@ -1,4 +1,4 @@
-"""The reducer of an agent's process: agent, candidate, and perhaps owner."""
+"""The reducer of an agent's process: agent, candidate and, at times, owner."""
 
 import sys
 from collections.abc import Callable
@@ -105,7 +105,7 @@
     NotOwner: candidates.on_not_owner,
     HandOver: candidates.on_hand_over,
 }
-# What passes within a cell; the others name the cell that they are about.
+# Messages within a cell; in the others ``cell`` names the cell that they refer to.
 _WITHIN_CELL = frozenset(
     kind
     for kind in (*_TO_AGENT, *_TO_OWNER, LastContactReply, HandOver)
@@ -114,9 +114,9 @@
 
 
 def handle(node: Node, event: Event, now: float) -> list[Effect]:
-    """Take one event and return what is to be done.
+    """Handle one event and return the resulting effects.
 
-    What the node sends to itself is handled at once and does not leave it.
+    Messages of the node to itself are handled at once and not returned.
     """
     _dispatch(node, event, now)
     outgoing: list[Effect] = []
@@ -135,7 +135,7 @@
 
 
 def _collect(node: Node, now: float) -> list[Effect]:
-    """Take the effects of all parts, and see whether the owner is deposed."""
+    """Collect the effects of all parts; step down first if the owner is deposed."""
     effects: list[Effect] = []
     if node.owner is not None:
         higher = node.agent.gate.epoch > node.owner.record.epoch
@@ -175,9 +175,9 @@
     message = event.message
     kind = type(message)
     if kind in _WITHIN_CELL and message.cell != node.cell:
-        # This host's address was another cell's until lately, and that cell's owner
-        # still speaks to it. Were its epoch taken, the owner of this cell would find
-        # a higher one than its own, and step down for nothing.
+        # This address belonged to another cell until recently, and that cell's owner
+        # still sends to it. If its epoch were accepted, the owner of this cell would
+        # see a higher epoch than its own and step down needlessly.
         node.agent.effects.append(Count("agent.other_cell", 1))
         return
     if kind in _TO_AGENT:
@@ -217,7 +217,7 @@
 
 
 def _reply_not_owner(node: Node, event: Received) -> None:
-    """Tell who owns the cell, as far as this agent knows; nothing was done."""
+    """Reject a message to the owner, naming the owner known to this agent."""
     message = event.message
     if not isinstance(message, Submit | Subscribe | Cancel | Query):
         return
@@ -228,10 +228,10 @@
 
 
 def _redirect(node: Node, sender: str, submission: str, attempt: int) -> None:
-    """Tell an entry who owns the cell instead, as far as this agent knows.
+    """Tell an entry which owner this agent knows.
 
-    Without the address, an entry finds the new owner of a planned stop only
-    after the silence that it takes for the old one's death.
+    Without the address, an entry would find the new owner after a planned stop only
+    once the old one has been silent long enough to be taken for lost.
     """
     gate = node.agent.gate
     address = gate.owner.address if gate.owner is not None else ""
@@ -276,11 +276,11 @@
 
 
 def _become_owner(node: Node, taken: TakenOver, now: float) -> None:
-    """Act as the owner of an epoch that the service has confirmed.
+    """Start as the owner of an epoch that the key-value service has confirmed.
 
-    The confirmation may come so late that another has taken the cell since.
+    The confirmation may come so late that another node owns the cell by then.
 
-    :raises InvariantError: if another owner has shown this very epoch.
+    :raises InvariantError: if another owner already uses the same epoch.
     """
     seen = node.agent.gate.epoch
     if taken.record.epoch < seen:
@@ -288,8 +288,8 @@
         return
     if taken.record.epoch == seen:
         raise InvariantError(
-            f"{node.cell}: epoch {seen} is taken, but another owner has shown it",
-            "The service has gone back. Stop the cell and restore its record.",
+            f"{node.cell}: epoch {seen} was acquired, but another owner uses it",
+            "The key-value service lost data. Stop the cell and restore its record.",
         )
     node.owner = OwnerState(
         node.cell,
@@ -301,7 +301,7 @@
         node.agent,
         node.make_scheduler(),
         node.agent.sync,
-        # Bounded by what the agents hand out, which is some seconds' worth.
+        # Bounded by the agents' records of the lookback period, some seconds.
         RecordBook(node.timing.retention, sys.maxsize),
         maximum_bytes=node.ledger_bytes,
         wall_ms=node.wall_ms,
@@ -310,7 +310,7 @@
 
 
 def _step_down(node: Node) -> None:
-    """Stop acting as the owner; entries go to the new one."""
+    """Stop acting as the owner, and redirect waiting entries to the new one."""
     owner, node.owner = node.owner, None
     node.agent.effects.append(
         Log(
--- a/src/cactuswalk/state/nodestate.py
+++ b/src/cactuswalk/state/nodestate.py
@@ -1,4 +1,4 @@
-"""All that an agent's process knows, and how it begins."""
+"""The state of an agent's process, and its initial value."""
 
 import random
 import sys
@@ -19,11 +19,11 @@
 from cactuswalk.state.retention import RecordBook
 from cactuswalk.state.timing import Timing
 
-# How the bytes for records are shared out: half for the agent's, a quarter for
-# what an owner keeps of submissions, and a quarter for the bodies of answers.
+# Shares of the memory for records: half for the agent's records, a quarter for the
+# submissions that an owner keeps, and a quarter for the bodies of their answers.
 RECORDS_SHARE = 1 / 2
 LEDGER_SHARE = 1 / 4
-# Copies are kept for two spans of what a new owner looks back.
+# Copies are kept for twice the time that a new owner looks back.
 COPY_LOOKBACK_FACTOR = 2
 
 
@@ -31,12 +31,12 @@
 
 
 class Node(msgspec.Struct):
-    """All that an agent's process knows.
+    """State of an agent's process.
 
-    :param ledger_bytes: for the answers that an owner keeps.
-    :param wall_ms: wall clock less monotonic clock, for births of keys only.
+    :param ledger_bytes: memory for the answers that an owner keeps.
+    :param wall_ms: wall clock minus monotonic clock, for creation times of keys only.
     :param make_scheduler: called for each epoch that this node owns.
-    :param idle_since: when a stopping node had nothing left to finish.
+    :param idle_since: since when a stopping node has had nothing left to finish.
     :param stopped: the process may exit.
     """
 
@@ -58,7 +58,7 @@
 
     @property
     def member(self) -> Member:
-        """Return this life of the agent."""
+        """The member for this incarnation of the agent."""
         return self.agent.gate.member
 
 
@@ -73,13 +73,13 @@
     wall_ms: float = 0.0,
     entries: Sequence[str] = (),
 ) -> Node:
-    """Return the state of a process that has just been started.
+    """Return the initial state of an agent's process.
 
     :param entries: addresses of processes that may know the cell's owner.
     """
     records = RecordBook(timing.retention, int(maximum_bytes * RECORDS_SHARE))
-    # Copies serve a takeover only, which looks back this far; dropped earlier for
-    # want of room they would make a new owner take young keys for old ones.
+    # Copies are only used by a takeover, which looks back this far. Their size is not
+    # limited: dropped early, they would make a new owner refuse recent keys as too old.
     copies = RecordBook(
         min(COPY_LOOKBACK_FACTOR * timing.takeover_lookback, timing.retention),
         sys.maxsize,
--- a/src/cactuswalk/state/questions.py
+++ b/src/cactuswalk/state/questions.py
@@ -1,4 +1,4 @@
-"""Questions at an entry that owners answer: where jobs stand, where they fit."""
+"""Queries that an entry passes to owners: the state of jobs, and where they fit."""
 
 from cactuswalk.messages import Explain, Explanation, JobState, Query
 from cactuswalk.state.effects import ReplyExplanation, ReplyState, Send
@@ -15,7 +15,7 @@
 
 
 def _owners(state: EntryState, service: str) -> list[str]:
-    """Return the owners of the cells that serve a service; all for none."""
+    """Return the owners of the cells that serve a service; all if it is empty."""
     return sorted(
         view.owner
         for view in state.cells.values()
@@ -37,7 +37,7 @@
 
 
 def on_requested_state(state: EntryState, message: JobState) -> None:
-    """Tell a caller who asked where a submission stands."""
+    """Reply to a caller's query once an owner knows the submission or all replied."""
     asked = state.pending_queries.get(message.request)
     if asked is None:
         return
@@ -64,7 +64,7 @@
 def on_explained(
     state: EntryState, sender: str, message: Explanation, now: float
 ) -> None:
-    """Gather the owners' words; the last one completes the answer."""
+    """Collect the owners' replies; the last one completes the answer."""
     asked = state.pending_explains.get(message.request)
     if asked is None:
         return
@@ -76,7 +76,7 @@
 
 
 def expire_requests(state: EntryState, now: float) -> None:
-    """Answer with what has come where an owner stays silent."""
+    """Answer expired queries with the replies received so far."""
     for request in [
         key for key, asked in state.pending_queries.items() if asked.until <= now
     ]:
--- a/src/cactuswalk/state/readiness.py
+++ b/src/cactuswalk/state/readiness.py
@@ -1,4 +1,4 @@
-"""Whether an entry may be given callers' work, as a balancer asks."""
+"""Readiness of an entry to accept callers' work, for load balancers."""
 
 from cactuswalk.state.entryview import EntryState
 from cactuswalk.state.listening import is_silent
@@ -7,11 +7,11 @@
 
 
 def unready_reasons(state: EntryState, now: float) -> list[str]:
-    """Return why this entry should not be given work; nothing if it should.
+    """Return why this entry is not ready; an empty list if it is.
 
-    A cell that has just begun refuses the keys that callers chose for some seconds,
-    since it can't tell them from keys of before. While no other cell serves, a
-    balancer that sent them here would have them refused, with no harm but a wait.
+    A cell that has just been founded refuses keys chosen by callers for some seconds,
+    since it can't tell them from keys used before. If no other cell serves, requests
+    that a balancer sent here would be refused, with no harm but a delay.
     """
     confirm = state.timing.confirm
     heard = [view for view in state.cells.values() if not is_silent(view, confirm, now)]
--- a/src/cactuswalk/state/reporting.py
+++ b/src/cactuswalk/state/reporting.py
@@ -1,10 +1,9 @@
-"""What an owner tells entries: a report when one asks, and news in between.
+"""Reports of an owner to entries: on request, and when relevant state changes.
 
-Why not at a steady pace: each owner would send to every entry, and each entry
-hear from every cell, some hundred bytes several times a second. At the target
-that was 63 KB a second at an entry. Entries ask at a pace that they can bear,
-see ``listening``; only what they decide by is worth a message that nobody asked
-for.
+Load pattern: many cells and entries. If each owner sent every entry some hundred
+bytes several times a second, an entry would receive 63 KB a second at the target
+size. Entries therefore request reports at an interval that keeps to their bound (see
+``listening``), and owners send unrequested ones only for changes that entries act on.
 """
 
 from cactuswalk.messages import CellReport, Subscribe
@@ -15,29 +14,29 @@
 
 __all__ = ["on_subscribe", "send_reports"]
 
-# An entry that has not asked for this long is gone: three times the slowest
-# pace at which one asks.
+# An entry that has not asked for this long is removed: three times the longest
+# interval between its requests.
 ENTRY_LAPSE_SECONDS = 30.0
-# While a change is on its way through the cell, its entries are told how far it
-# has come no more often than this; they are told at once when all nodes have it.
+# While a change spreads through the cell, entries get its progress no more often
+# than this; they are told at once when all nodes have it.
 PARTIAL_REPORT_INTERVAL_SECONDS = 1.0
 
 
 def on_subscribe(
     state: OwnerState, sender: str, subscribe: Subscribe, now: float
 ) -> None:
-    """Tell an entry how the cell stands; the news will follow by itself."""
+    """Send a report to an entry; later changes are sent without a request."""
     view = state.entries.setdefault(sender, EntryView(now))
     view.subscribed_at = now
     same_owner = subscribe.epoch == state.record.epoch
-    # What the entry says goes before what it was sent: that may have been lost.
+    # The entry's serial overrides the one last sent, since that report may be lost.
     view.serial = subscribe.serial if same_owner else -1
     if state.phase is Phase.SERVING:
-        _tell(state, sender, view, make_offer(state, state.sync), now)
+        _send_report(state, sender, view, make_offer(state, state.sync), now)
 
 
 def send_reports(state: OwnerState, now: float) -> None:
-    """Look for news once a report period, and tell it to the entries."""
+    """Once a report period, send reports to the entries that need one."""
     if state.phase is not Phase.SERVING:
         return
     if now - state.reported_at < state.timing.report:
@@ -48,16 +47,16 @@
         if now - view.subscribed_at > ENTRY_LAPSE_SECONDS:
             del state.entries[address]
         elif _must_report(state, view, offer, now):
-            _tell(state, address, view, offer, now)
+            _send_report(state, address, view, offer, now)
 
 
 def _must_report(
     state: OwnerState, view: EntryView, offer: ConfigurationOffer, now: float
 ) -> bool:
-    """Tell whether something that an entry decides by, or waits for, has changed.
+    """Return whether something that an entry acts on or waits for has changed.
 
-    Free slots are not among it: an entry refuses nothing for want of room, and
-    under load they change with every task.
+    Free slots do not count: an entry refuses nothing for lack of capacity, and under
+    load they change with every task.
     """
     if view.serial != state.workers_serial:
         return True
@@ -66,7 +65,7 @@
     return view.held != offer.held and due
 
 
-def _tell(
+def _send_report(
     state: OwnerState,
     address: str,
     view: EntryView,
@@ -97,7 +96,7 @@
 
 
 def _key_refusal_ms(state: OwnerState, now: float) -> int:
-    """Return for how long still callers' own keys may be taken for keys of before."""
+    """Return how long callers' own keys may still be confused with old ones."""
     margin = state.timing.clock_margin + state.timing.entry_margin
     left = state.founded_at + margin - now
     return int(left * 1000) if left > 0 else 0
--- a/src/cactuswalk/state/spreading.py
+++ b/src/cactuswalk/state/spreading.py
@@ -1,7 +1,7 @@
-"""How the configuration reaches an agent's node, and takes effect at its owner.
+"""Distribution of the configuration to agents, and its effect at the owner.
 
-Every agent holds the whole copy: any of them may own the cell next, and a node
-that starts while the key-value service is away learns all from a peer.
+Every agent holds a full copy, since any of them may become the owner, and a node that
+starts during an outage of the key-value service gets the configuration from a peer.
 """
 
 from cactuswalk.messages import (
@@ -36,7 +36,7 @@
     offer: ConfigurationOffer,
     now: float,
 ) -> None:
-    """Another node says what it holds."""
+    """Handle an offer of another node."""
     agent.effects += sync.on_offer(sender, offer, now)
 
 
@@ -46,7 +46,7 @@
     sender: str,
     request: ConfigurationRequest,
 ) -> None:
-    """Another node asks for what it lacks."""
+    """Answer a request of another node."""
     agent.effects += sync.on_request(sender, request)
 
 
@@ -58,7 +58,7 @@
     update: ConfigurationUpdate,
     now: float,
 ) -> None:
-    """Changes have come: put them in force, and pass them on as the owner."""
+    """Apply changes; an owner also sends them to its agents and entries."""
     before = sync.replica.revision
     applied, requests = sync.on_update(sender, update, now)
     agent.effects += requests
@@ -85,10 +85,10 @@
 
 
 def apply_configuration(owner: OwnerState, sync: ConfigurationSync, now: float) -> None:
-    """Bring the scheduler to the configuration in force.
+    """Apply the configuration in force to the scheduler.
 
-    The whole of it each time: it is some hundred objects, changes are rare, and
-    nothing is left over from an object that was deleted.
+    All of it is applied each time: it has some hundred objects and changes rarely,
+    and so nothing remains of a deleted object.
     """
     for peer in owner.peers.values():
         apply_worker(owner, sync, peer, now)
@@ -114,7 +114,7 @@
 def apply_worker(
     owner: OwnerState, sync: ConfigurationSync, peer: Peer, now: float
 ) -> None:
-    """Bring what the scheduler knows of one worker to what is in force."""
+    """Apply the configuration in force to one worker of the scheduler."""
     if peer.announcement is None:
         return
     view = view_worker(sync.replica, peer.announcement)
@@ -122,13 +122,13 @@
         peer.in_force = view.announcement
         owner.workers_serial += 1
         owner.scheduler.set_worker(view.announcement, peer.usable, now)
-    gets_nothing = view.drained or not view.may_serve
-    peer.drained = gets_nothing
-    owner.scheduler.set_drained(peer.announcement.worker, gets_nothing, now)
+    gets_no_work = view.drained or not view.may_serve
+    peer.drained = gets_no_work
+    owner.scheduler.set_drained(peer.announcement.worker, gets_no_work, now)
 
 
 def make_offer(owner: OwnerState, sync: ConfigurationSync) -> ConfigurationOffer:
-    """Return what the nodes of this cell hold, for its entries."""
+    """Return the offer for entries: what the nodes of this cell have in force."""
     replica = sync.replica
     states = [(replica.revision, replica.ahead)]
     states += [
@@ -142,6 +142,6 @@
 
 
 def offer_to_entries(owner: OwnerState, sync: ConfigurationSync) -> None:
-    """Tell the entries at once; the next report would do it too."""
+    """Send an offer to all entries at once, without waiting for the next report."""
     offer = make_offer(owner, sync)
     owner.effects += [Send(address, offer) for address in owner.entries]
--- a/src/cactuswalk/state/timing.py
+++ b/src/cactuswalk/state/timing.py
@@ -1,4 +1,4 @@
-"""Spans of time that the promises rest on, with their grounds."""
+"""Durations that the guarantees depend on, with the reason for each value."""
 
 import msgspec
 
@@ -6,41 +6,41 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Spans in seconds; the same on every node of a cell.
+    """Durations in seconds; the same on every node of a cell.
 
-    :param confirm: P of docs/design/ownership.md. One second is some hundred
-        times the round trip and well above a pause of the garbage collector,
-        and 2P leaves a takeover within a few seconds.
-    :param ping: a quarter of P. A member that confirms is asked every second
-        quarter; one whose answer stays away is asked again after a tenth of a
-        second and then each quarter, so that one exchange may be lost without
-        its worker losing work, and two without the owner losing its standing.
-    :param suspect: silence after which a member asks the others; above P, so
-        that an owner without standing has stopped by then.
+    :param confirm: P of docs/design/ownership.md. One second is some hundred times
+        the round trip and well above a pause of the garbage collector, and with 2P
+        a takeover takes a few seconds.
+    :param ping: ping period, a quarter of P. A member that confirms is pinged every
+        second period. One that does not answer is pinged again after a tenth of a
+        second and then every period, so that one exchange may be lost without its
+        worker losing work, and two without the owner losing its confirmation.
+    :param suspect: silence after which a member asks the others about the owner;
+        above P, so that an unconfirmed owner has stopped by then.
     :param suspect_stagger: added per rank, so that one candidate swaps first.
-    :param lost: silence after which an agent's running tasks are given up as
-        unknown and it is taken off the roster. Above the two seconds in which
-        it must stop getting work, which it does after P.
+    :param lost: silence after which an agent is removed from the roster and its
+        running tasks end as unknown. Above the two seconds within which it must
+        stop getting work, which happens after P.
     :param retention: how long records and answers are kept.
-    :param lookback: how far back the records reach that a new owner collects. It
-        covers the deadlines of nearly all that may be open at a takeover, and
-        at a full cell's 300 starts a second some 4 MB; of what is older it says
-        that it is too old to know.
-    :param settle: how long an ended job waits for the agents' word on what is
-        still running; fifty round trips.
-    :param report: between two looks of an owner for news for its entries; a
-        quarter of P, so that what they wait for comes well within a second.
-    :param query: first wait of an entry for a sign of a submission; above
-        nearly all run times, so that it is seldom asked in vain.
-    :param join: between two tries to join a cell.
-    :param clock_margin: how far a caller's wall clock may be ahead of an
-        entry's (birth times only). A key that is born later than that is
-        refused, with the remedy; the margin is what an unsteered clock drifts
-        in a day. One that is behind seems older, which is safe.
-    :param entry_margin: how far two entries' clocks may be apart; ours are
-        steered, and then differ by milliseconds. Beyond both margins, a key
-        whose task ran on a host that was lost together with the owner may be
-        taken for one that was born after.
+    :param lookback: how far back the records go that a new owner collects. It covers
+        the deadlines of nearly all submissions that may be open at a takeover, and
+        takes some 4 MB at a full cell's 300 starts a second. Older submissions are
+        refused as too old.
+    :param settle: how long an ended job waits for the agents' replies about tasks
+        that still run; fifty round trips.
+    :param report: interval at which an owner checks for changes to report to
+        entries; a quarter of P, so that they arrive well within a second.
+    :param query: first wait of an entry for a sign of a submission; above nearly all
+        run times, so that few queries are needless.
+    :param join: interval between attempts to join a cell.
+    :param clock_margin: how far a caller's wall clock may be ahead of an entry's;
+        used only for creation times of keys. A key from further in the future is
+        refused, with advice to correct the clock. The margin is the drift of an
+        unsynchronised clock in a day. A clock that is behind makes keys seem older,
+        which is safe.
+    :param entry_margin: how far the clocks of two entries may differ; synchronised
+        clocks differ by milliseconds. Beyond both margins, a key whose task ran on a
+        host that was lost together with the owner may be taken for a newer one.
     """
 
     confirm: float = 1.0
@@ -59,5 +59,5 @@
 
     @property
     def takeover_lookback(self) -> float:
-        """Return how far back a takeover looks: no further than records are kept."""
+        """How far back a takeover looks; at most as long as records are kept."""
         return min(self.lookback, self.retention)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -361,8 +361,8 @@
     Mutant(
         "an answer of another attempt passes",
         f"{STATE}/flights.py",
-        "    if not attempts.is_current(task, incarnation, attempt):\n        # An",
-        "    if False:\n        # An",
+        "    if not attempts.is_current(task, incarnation, attempt):\n        # The",
+        "    if False:\n        # The",
         ANSWERS,
     ),
     Mutant(
