--- a/features/once_attempts.feature
+++ b/features/once_attempts.feature
@@ -8,8 +8,8 @@
     Then its caller is answered, and it started twice at most
 
   Scenario: A seat check whose worker dies is not retried
-    The worker dies while it runs a seat check. Whether the seat was taken is unknown,
-    and a second attempt could take a second seat.
+    The worker dies while it runs a seat check. It is unknown whether the seat was
+    taken; a second attempt could take a second one.
     Given a settled cell of second attempts
     When a request that is not idempotent runs on a worker that then dies
     Then its caller is told unknown, and it started once
--- a/src/cactuswalk/state/gate.py
+++ b/src/cactuswalk/state/gate.py
@@ -72,7 +72,7 @@
         return StartDecision(False, reason="sent to another incarnation of this agent")
     if start.epoch != gate.epoch:
         return StartDecision(
-            False, reason=f"epoch {start.epoch}, but {gate.epoch} is in force"
+            False, reason=f"epoch {start.epoch}, expected {gate.epoch}"
         )
     record = gate.records.get(start.submission, start.index)
     if record is not None and not _may_follow(record, start):
