--- a/src/cactuswalk/state/agent.py
+++ b/src/cactuswalk/state/agent.py
@@ -279,7 +279,9 @@
     _report_end(state, record, record.result, 0)
 
 
-def on_heard(state: AgentState, sender: str, heard: LastContactRequest, now: float) -> None:
+def on_heard(
+    state: AgentState, sender: str, heard: LastContactRequest, now: float
+) -> None:
     """Report to a member how long the owner has been silent here."""
     known = heard.epoch >= state.gate.epoch
     silent = now - state.heard_at if known else 0.0
--- a/src/cactuswalk/state/cellviews.py
+++ b/src/cactuswalk/state/cellviews.py
@@ -106,7 +106,9 @@
         pending.sent_epoch = min(pending.sent_epoch, message.epoch - 1)
 
 
-def on_heard(state: EntryState, sender: str, heard: LastContactRequest, now: float) -> None:
+def on_heard(
+    state: EntryState, sender: str, heard: LastContactRequest, now: float
+) -> None:
     """Tell an agent without a record of its cell who the owner was.
 
     A silent owner is not named: the agent would try to join it for ever. The epoch
--- a/src/cactuswalk/state/configuration.py
+++ b/src/cactuswalk/state/configuration.py
@@ -318,7 +318,9 @@
     ]
 
 
-def count_in_force(revision: int, cells: Iterable[list[NodeStateCount]]) -> NodesInForce:
+def count_in_force(
+    revision: int, cells: Iterable[list[NodeStateCount]]
+) -> NodesInForce:
     """Count the nodes of all cells on which a revision is in force."""
     nodes = in_force = 0
     lowest: int | None = None
