--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the spread of the configuration."""
+"""Steps for the distribution of the configuration."""
 
 import functools
 import itertools
@@ -30,8 +30,8 @@
 )
 
 
-class TakesLower(Replica):
-    """The check for older objects is gone."""
+class AppliesOlder(Replica):
+    """A replica without the check for older objects."""
 
     __slots__ = ()
 
@@ -39,8 +39,8 @@
         return stored != self.objects.get(stored.key)
 
 
-class PassesOverGaps(Replica):
-    """The check for missing changes is gone."""
+class SkipsGaps(Replica):
+    """A replica without the check for missing changes."""
 
     __slots__ = ()
 
@@ -50,7 +50,7 @@
 
 
 class Race:
-    """Operators, faults and messages, in an order that Hypothesis chooses."""
+    """A run of operators, faults and messages in an order chosen by Hypothesis."""
 
     def __init__(self, make_replica):
         self.cluster = Cluster(make_replica)
@@ -62,7 +62,7 @@
         self.replaced = False
 
     def change(self, first, second):
-        """An operator at some entry changes some worker; nothing is sent yet."""
+        """Prepare an operator's change of a worker at an entry; nothing is sent yet."""
         index = first % 2
         entry = self.cluster.entries[index]
         name = f"w{second % 3}"
@@ -83,7 +83,7 @@
         self.pending.append((entry, request, coroutine))
 
     def step(self, first, second):
-        """Let one operator's request go on by some calls of the service."""
+        """Advance one operator's request by some calls of the service."""
         if not self.pending:
             return
         chosen = self.pending[first % len(self.pending)]
@@ -122,7 +122,7 @@
         self.old = self.cluster.snapshot()
 
     def stale_list(self, first, second):
-        """A watch starts anew on an answer that was on its way for long."""
+        """Restart a watch from an outdated list, as if its reply was delayed."""
         if self.old is not None and not self.cluster.service.away:
             self.cluster.list(self.cluster.entries[first % 2], self.old)
 
@@ -148,7 +148,7 @@
         self.replaced = True
 
     def round(self, first, second):
-        """A node's pings or reports go out."""
+        """Send the pings or reports of a node."""
         nodes = list(self.cluster.nodes.values())
         node = nodes[first % len(nodes)]
         self.cluster.send(node, node.tell())
@@ -159,12 +159,12 @@
             self.cluster.send(node, node.tick(self.cluster.now))
 
     def finish(self):
-        """Let every request end, then every message, first without the service."""
+        """Complete all requests and deliver all messages, first without the service."""
         while self.pending:
             self.step(0, 0)
         self.cluster.service.away = True
         self.cluster.settle()
-        # What only a replaced process knew has gone with it; the service has it.
+        # A change known only to a replaced process is lost until the service is back.
         if not self.replaced:
             self.check_accepted()
         self.cluster.service.away = False
@@ -178,7 +178,7 @@
                 assert node.replica.holds(one.revision), (node.name, one.revision)
 
     def check_written(self):
-        """What nodes hold is what the service holds; refused is not in it."""
+        """Check that nodes hold what the service holds, and no refused change."""
         service = self.cluster.service
         values = [value.decode() for _, value, _ in service.log]
         for write_id in self.refused:
@@ -220,22 +220,22 @@
     return None, counts
 
 
-@when("Hypothesis runs configuration races on sound replicas")
-def step_sound(context):
+@when("Hypothesis runs configuration races on correct replicas")
+def step_correct(context):
     context.race_error, context.race_counts = run_races(Replica, 250)
 
 
 @when("Hypothesis runs configuration races on replicas that take lower revisions")
 def step_lower(context):
-    context.race_error, _ = run_races(TakesLower, 300)
+    context.race_error, _ = run_races(AppliesOlder, 300)
 
 
-@when("Hypothesis runs configuration races on replicas that pass over gaps")
+@when("Hypothesis runs configuration races on replicas that skip gaps")
 def step_gaps(context):
-    context.race_error, _ = run_races(PassesOverGaps, 300)
+    context.race_error, _ = run_races(SkipsGaps, 300)
 
 
-@then("each accepted change is in force on every node and no node went back")
+@then("each accepted change is in force on every node and no node reverted")
 def step_in_force(context):
     assert context.race_error is None, context.race_error
     assert context.race_counts["accepted"] > 100, context.race_counts
@@ -261,7 +261,7 @@
 
 
 def outcome(coroutine):
-    """Return what a change came to: the acceptance, or the error."""
+    """Return the result of a change: its acceptance or the error."""
     try:
         return drive(coroutine)
     except CactuswalkError as error:
@@ -285,14 +285,14 @@
             assert node.replica.holds(revision), (node.name, revision)
 
 
-@when("the service goes away just after another change is accepted")
+@when("the service becomes unavailable just after another change is accepted")
 def step_away_after(context):
     context.second = context.make(1, request_of(2, 0, name="w2"))
     context.cluster.service.away = True
     context.cluster.settle()
 
 
-@then("both changes are in force on every node though the service is away")
+@then("both changes are in force on every node without the service")
 def step_both(context):
     revisions = (context.first.revision, context.second.revision)
     check_everywhere(context.cluster, *revisions)
@@ -300,7 +300,7 @@
         assert node.replica.get("worker", "w2").labels == {"n": "2"}
 
 
-@when("the service goes away and an entry and an agent are replaced")
+@when("the service becomes unavailable and an entry and an agent are replaced")
 def step_replaced(context):
     context.cluster.service.away = True
     for name in ("entry0", "agent1.0"):
@@ -334,7 +334,7 @@
     assert context.cluster.service.log == []
 
 
-@when("the service takes a change, loses its reply and goes away")
+@when("the service applies a change, loses its reply and becomes unavailable")
 def step_lost_reply(context):
     service = context.cluster.service
     service.lose_reply = True
@@ -386,7 +386,7 @@
     for number, node in enumerate(nodes):
         stored = StoredObject(f"team/t{number}", 10 + number, b"")
         node.replica.update(ConfigurationUpdate(0, 0, [stored], [10 + number]))
-    # Each has already asked somebody, whose answer is not there yet.
+    # Each has already sent a request that is not answered yet.
     for number, node in enumerate(nodes):
         other = 11 - number
         assert node.sync.request_if_behind("agent0.0", 0, cluster.now, [other])
@@ -409,7 +409,7 @@
     assert context.exchanged < 20, context.exchanged
 
 
-@when("one agent of a cell has not heard of a second change")
+@when("one agent of a cell has not received a second change")
 def step_one_behind(context):
     cluster = context.cluster
     context.second = context.make(0, request_of(2, 0, name="w2"))
@@ -430,8 +430,8 @@
     context.in_force = count_in_force(context.second.revision, cells)
 
 
-@then("the cells add up to one node fewer than all for the second change")
-def step_add_up(context):
+@then("the second change is in force on one node fewer than all")
+def step_count(context):
     one = context.in_force
     assert (one.nodes, one.nodes_in_force) == (6, 5), one
     assert one.lowest == context.first.revision, one
