--- a/src/cactuswalk/state/agent.py
+++ b/src/cactuswalk/state/agent.py
@@ -227,15 +227,19 @@
 ) -> None:
     """Record the end of a call to the upstream and report it to the owner."""
     gate = state.gate
-    place = (event.submission, event.index)
-    record = gate.records.get(*place)
-    if record is None or record.attempt != event.attempt or place not in gate.running:
+    task_key = (event.submission, event.index)
+    record = gate.records.get(*task_key)
+    if (
+        record is None
+        or record.attempt != event.attempt
+        or task_key not in gate.running
+    ):
         # The record has expired, or the call belongs to an earlier attempt, whose
         # answer must not be recorded for the current one.
         state.effects.append(Count("agent.answer.stale"))
         return
-    del gate.running[place]
-    stopped = remove_task(state.guard, *place)
+    del gate.running[task_key]
+    stopped = remove_task(state.guard, *task_key)
     ended = msgspec.structs.replace(record)
     if event.outcome is UpstreamOutcome.NOT_SENT:
         ended.state = TaskState.DECLINED
@@ -270,11 +274,13 @@
     ):
         record = _decline_unknown(state, probe, now)
     if record.state is TaskState.RUNNING:
-        place = (probe.submission, probe.index)
-        running = Running(state.cell, gate.member.incarnation, *place, record.attempt)
+        task_key = (probe.submission, probe.index)
+        running = Running(
+            state.cell, gate.member.incarnation, *task_key, record.attempt
+        )
         state.effects.append(Send(sender, running))
         if probe.stop:
-            state.effects.append(StopUpstream(*place, record.attempt))
+            state.effects.append(StopUpstream(*task_key, record.attempt))
         return
     _report_end(state, record, record.result, 0)
 
@@ -347,10 +353,10 @@
     gate = state.gate
     if gate.owner is None:
         return
-    lives = (state.cell, gate.member.incarnation)
+    sender_fields = (state.cell, gate.member.incarnation)
     if record.state is TaskState.DECLINED:
         message: Message = Declined(
-            *lives,
+            *sender_fields,
             gate.epoch,
             record.submission,
             record.index,
@@ -359,7 +365,7 @@
         )
     else:
         message = Result(
-            *lives,
+            *sender_fields,
             record.submission,
             record.index,
             record.attempt,
--- a/src/cactuswalk/state/gate.py
+++ b/src/cactuswalk/state/gate.py
@@ -112,15 +112,15 @@
 
     :raises InvariantError: if the task is running, or has run and must not again.
     """
-    place = (start.submission, start.index)
-    earlier = gate.records.get(*place)
+    task_key = (start.submission, start.index)
+    earlier = gate.records.get(*task_key)
     started = earlier is not None and earlier.state is not TaskState.DECLINED
-    if place in gate.running or (started and not start.idempotent):
+    if task_key in gate.running or (started and not start.idempotent):
         raise InvariantError(
             f"task {start.index} of {start.submission} would start twice",
             "Report this with the log of the agent; the task was not started.",
         )
-    gate.running[place] = start.attempt
+    gate.running[task_key] = start.attempt
     gate.records.put(_record_of(gate, start, TaskState.RUNNING), now)
 
 
--- a/src/cactuswalk/state/guarding.py
+++ b/src/cactuswalk/state/guarding.py
@@ -84,17 +84,17 @@
     Tasks that have ended since, or run as another attempt, are skipped: a report is
     about a second old, and an action would affect the wrong attempt.
     """
-    places = {}
+    reported = {}
     for usage in usages:
         task = guard.tasks.get((usage.submission, usage.index))
         if task is not None and task.attempt == usage.attempt:
-            places[f"{usage.submission} {usage.index}"] = (usage, task)
+            reported[f"{usage.submission} {usage.index}"] = (usage, task)
     effects: list[Effect] = []
-    if stale := len(usages) - len(places):
+    if stale := len(usages) - len(reported):
         effects.append(Count("agent.usage.stale", stale))
-    judged = [_to_usage(name, *place) for name, place in places.items()]
+    judged = [_to_usage(name, *pair) for name, pair in reported.items()]
     actions = choose_guard_actions(judged, capacity.memory_mb, capacity.slots)
-    for name, (usage, task) in places.items():
+    for name, (usage, task) in reported.items():
         action = actions.get(name, GuardAction.NONE)
         effects += _apply_action(guard, action, usage, task, worker, now)
     return effects
@@ -115,7 +115,7 @@
 ) -> list[Effect]:
     if action is GuardAction.NONE and not task.throttled:
         return []
-    place = (usage.submission, usage.index, usage.attempt)
+    attempt_key = (usage.submission, usage.index, usage.attempt)
     if action is GuardAction.STOP:
         if any(_settles(other, task, now) for other in guard.tasks.values()):
             return []
@@ -124,15 +124,15 @@
             f"its worker was out of memory and stopped it: it used {usage.used_mb} MB, "
             f"declared {task.declared_mb}"
         )
-        effect = StopUpstream(*place)
+        effect = StopUpstream(*attempt_key)
     elif action is GuardAction.CHECKPOINT:
         task.checkpoints += 1
-        effect = ControlUpstream(*place, action)
+        effect = ControlUpstream(*attempt_key, action)
     else:
         # Sent again with each report while it applies, since a request may be lost.
         task.throttled = action is GuardAction.THROTTLE
         factor = THROTTLE_FACTOR if task.throttled else 1.0
-        effect = ControlUpstream(*place, GuardAction.THROTTLE, factor)
+        effect = ControlUpstream(*attempt_key, GuardAction.THROTTLE, factor)
     done = "lift" if action is GuardAction.NONE else action.value
     fields = {
         "action": done,
--- a/src/cactuswalk/state/questions.py
+++ b/src/cactuswalk/state/questions.py
@@ -38,11 +38,11 @@
 
 def on_requested_state(state: EntryState, message: JobState) -> None:
     """Reply to a caller's query once an owner knows the submission or all replied."""
-    asked = state.pending_queries.get(message.request)
-    if asked is None:
+    pending = state.pending_queries.get(message.request)
+    if pending is None:
         return
-    asked.owners -= 1
-    if message.known or asked.owners == 0:
+    pending.owners -= 1
+    if message.known or pending.owners == 0:
         del state.pending_queries[message.request]
         state.effects.append(ReplyState(message.request, message))
 
@@ -65,24 +65,24 @@
     state: EntryState, sender: str, message: Explanation, now: float
 ) -> None:
     """Collect the owners' replies; the last one completes the answer."""
-    asked = state.pending_explains.get(message.request)
-    if asked is None:
+    pending = state.pending_explains.get(message.request)
+    if pending is None:
         return
-    asked.cells.append(message)
-    asked.owners -= 1
-    if asked.owners == 0:
+    pending.cells.append(message)
+    pending.owners -= 1
+    if pending.owners == 0:
         del state.pending_explains[message.request]
-        state.effects.append(ReplyExplanation(message.request, asked.cells))
+        state.effects.append(ReplyExplanation(message.request, pending.cells))
 
 
 def expire_requests(state: EntryState, now: float) -> None:
     """Answer expired queries with the replies received so far."""
     for request in [
-        key for key, asked in state.pending_queries.items() if asked.until <= now
+        key for key, pending in state.pending_queries.items() if pending.until <= now
     ]:
         del state.pending_queries[request]
         state.effects.append(ReplyState(request, None))
-    for request, asked in list(state.pending_explains.items()):
-        if asked.until <= now:
+    for request, pending in list(state.pending_explains.items()):
+        if pending.until <= now:
             del state.pending_explains[request]
-            state.effects.append(ReplyExplanation(request, asked.cells))
+            state.effects.append(ReplyExplanation(request, pending.cells))
--- a/src/cactuswalk/state/readiness.py
+++ b/src/cactuswalk/state/readiness.py
@@ -14,10 +14,12 @@
     that a balancer sent here would be refused, with no harm but a delay.
     """
     confirm = state.timing.confirm
-    heard = [view for view in state.cells.values() if not is_silent(view, confirm, now)]
-    if not heard:
+    responsive = [
+        view for view in state.cells.values() if not is_silent(view, confirm, now)
+    ]
+    if not responsive:
         return ["no cell's owner reports to this entry"]
-    serving = [view for view in heard if view.services]
+    serving = [view for view in responsive if view.services]
     if not serving:
         return ["no cell has a worker that has announced its service"]
     if all(view.accepts_keys_at > now for view in serving):
