--- a/src/cactuswalk/commands/dispatch_agent.py
+++ b/src/cactuswalk/commands/dispatch_agent.py
@@ -1,6 +1,6 @@
 """The ``cactuswalk-dispatch-agent`` command."""
 
-from cactuswalk.commands.process import daemon_command, lean_loading
+from cactuswalk.commands.process import fast_imports, make_daemon_command
 from cactuswalk.platform.names import SETTINGS_VARIABLE
 from cactuswalk.runtime.listening import listen
 
@@ -8,9 +8,9 @@
 
 HELP = """Run the agent beside one worker of the platform.
 
-Takes the worker's heartbeats, gives it the tasks that entries send, and runs
-each only while its entry is heard. SIGTERM is a planned stop: what runs is
-finished. Wrong settings are all reported at once, with exit status 2.
+Receives the worker's heartbeats and runs the tasks that entries send on it, each
+only while the agent hears its entry. SIGTERM is a planned stop: running tasks are
+finished. All mistakes in the settings are reported at once, with exit status 2.
 
 Example: cactuswalk-dispatch-agent --settings examples/dispatch-agent.ini
 """
@@ -20,18 +20,18 @@
     from cactuswalk.settings.dispatch import load_dispatch_agent
 
     settings = load_dispatch_agent(path)
-    # A worker whose heartbeat finds nobody pauses twice as long each time, and would
-    # be heard long after its agent has come. A connection that waits for what loads
-    # meanwhile is answered as soon as that is done.
+    # Listens before the imports: a worker whose heartbeat is refused doubles its delay
+    # each time and would be found long after the agent has started. A connection that
+    # is accepted now is answered as soon as the imports are done.
     listener = listen(settings.announcements)
 
-    with lean_loading():
+    with fast_imports():
         from cactuswalk.runtime.dispatchagent import DispatchAgentProcess
 
     return DispatchAgentProcess(settings, listener)
 
 
-main = daemon_command(
+main = make_daemon_command(
     "cactuswalk-dispatch-agent",
     HELP,
     _make,
--- a/src/cactuswalk/commands/dispatch_entry.py
+++ b/src/cactuswalk/commands/dispatch_entry.py
@@ -1,6 +1,6 @@
 """The ``cactuswalk-dispatch-entry`` command."""
 
-from cactuswalk.commands.process import daemon_command, lean_loading
+from cactuswalk.commands.process import fast_imports, make_daemon_command
 from cactuswalk.platform.names import SETTINGS_VARIABLE
 from cactuswalk.runtime.listening import listen
 
@@ -8,9 +8,9 @@
 
 HELP = """Run an entry on the platform.
 
-Takes jobs over HTTP, places their tasks on workers through the agents beside
-them, and answers when a job has ended. SIGTERM is a planned stop: what was taken
-is finished. Wrong settings are all reported at once, with exit status 2.
+Receives jobs over HTTP, places their tasks on workers through the agents on their
+hosts, and answers when a job has ended. SIGTERM is a planned stop: accepted jobs are
+finished. All mistakes in the settings are reported at once, with exit status 2.
 
 Example: cactuswalk-dispatch-entry --settings examples/dispatch-entry.ini
 """
@@ -20,17 +20,17 @@
     from cactuswalk.settings.dispatch import load_dispatch_entry
 
     settings = load_dispatch_entry(path)
-    # The balancer asks once a second. A question that comes while this loads is
-    # answered when it is done, not refused for another second.
+    # Listens before the imports: the balancer checks once a second, and a check that
+    # is accepted now is answered after the imports instead of a second later.
     listener = listen(settings.readiness)
 
-    with lean_loading():
+    with fast_imports():
         from cactuswalk.runtime.dispatchentry import DispatchEntryProcess
 
     return DispatchEntryProcess(settings, listener)
 
 
-main = daemon_command(
+main = make_daemon_command(
     "cactuswalk-dispatch-entry",
     HELP,
     _make,
--- a/src/cactuswalk/commands/operator.py
+++ b/src/cactuswalk/commands/operator.py
@@ -1,4 +1,4 @@
-"""``cactuswalk``: the operators' command."""
+"""The ``cactuswalk`` command for operators."""
 
 import click
 
@@ -7,8 +7,8 @@
 from cactuswalk.commands.operator_cells import retire
 from cactuswalk.commands.operator_context import (
     OperatorContext,
+    handle_errors,
     read_settings,
-    reports_errors,
 )
 from cactuswalk.commands.operator_settings import check_settings
 from cactuswalk.commands.operator_trace import trace
@@ -19,9 +19,9 @@
 @click.group(
     name="cactuswalk",
     context_settings={"help_option_names": ["-h", "--help"]},
-    epilog="Exit status: 0 done, 1 internal, 2 wrong input, 3 not found, 4 another "
-    "change came first, 5 not written, 6 outcome unknown, 7 no valid token, 8 not in "
-    "force in time, 9 no entry reached.",
+    epilog="Exit status: 0 success, 1 internal error, 2 invalid input, 3 not found, "
+    "4 conflict with another change, 5 not written, 6 outcome unknown, 7 no valid "
+    "token, 8 not in force in time, 9 no entry reached.",
 )
 @click.option(
     "--endpoint",
@@ -29,13 +29,13 @@
     multiple=True,
     envvar="CACTUSWALK_ENDPOINT",
     metavar="URL",
-    help="Operators' address of an entry; give it again for more entries.",
+    help="Operators' address of an entry; repeat it for more entries.",
 )
 @click.option(
     "--token",
     envvar="CACTUSWALK_TOKEN",
     metavar="TOKEN",
-    help="Better set as CACTUSWALK_TOKEN: other users can read a command line.",
+    help="Better set as CACTUSWALK_TOKEN, since other users can read command lines.",
 )
 @click.option(
     "--settings",
@@ -46,11 +46,11 @@
 )
 @click.version_option(__version__, prog_name="cactuswalk")
 @click.pass_context
-@reports_errors
+@handle_errors
 def operator_group(context, endpoints, token, settings):
-    """Steer Cactuswalk: services, workers, jobs and teams, by labels.
+    """Manage Cactuswalk: services, workers, job templates and teams, by labels.
 
-    Options go before environment variables, and these before the file of
+    Options override environment variables, which override the file of
     --settings.
     """
     fields = read_settings(settings)
--- a/src/cactuswalk/commands/operator_cells.py
+++ b/src/cactuswalk/commands/operator_cells.py
@@ -6,39 +6,43 @@
 
 from cactuswalk.commands.operator_client import EntryClient
 from cactuswalk.commands.operator_context import (
-    example,
+    format_example,
+    handle_errors,
     json_option,
     pass_operator,
-    reports_errors,
     show_json,
 )
 
 __all__ = ["retire"]
 
 
-@click.command(epilog=example("cactuswalk retire north --to south --hosts-are-off"))
+@click.command(
+    epilog=format_example("cactuswalk retire north --to south --hosts-are-off")
+)
 @click.argument("cell")
-@click.option("--to", required=True, metavar="CELL", help="Cell that takes its share.")
+@click.option(
+    "--to", required=True, metavar="CELL", help="Cell that takes over its slots."
+)
 @click.option(
     "--hosts-are-off",
     is_flag=True,
-    help="Your word that no host of the cell runs, nor will again.",
+    help="Confirm that no host of the cell runs, or ever will again.",
 )
 @json_option
 @pass_operator
-@reports_errors
+@handle_errors
 def retire(operator, cell, to, hosts_are_off, as_json):
-    """Give the share of a cell whose hosts are gone for good to another cell.
+    """Transfer the slots of a cell whose hosts are permanently gone to another.
 
-    Its callers' keys of before are told unknown; nothing of them runs again.
+    Submissions made to it earlier get the outcome unknown; none of them runs again.
     """
     path = f"/operator/cells/{urllib.parse.quote(cell, safe='')}/retire"
     query = {"to": to, "hosts_are_off": "1" if hosts_are_off else "0"}
 
-    async def talk(client: EntryClient) -> dict:
-        return (await client.act(path, query)).fields
+    async def request(client: EntryClient) -> dict:
+        return (await client.post(path, query)).fields
 
-    found = operator.converse(talk)
+    found = operator.run_with_client(request)
     if as_json:
         show_json(found)
         return
--- a/src/cactuswalk/commands/operator_changes.py
+++ b/src/cactuswalk/commands/operator_changes.py
@@ -8,10 +8,10 @@
 from cactuswalk.commands.operator_client import EntryClient, EntryProblemError, Reply
 from cactuswalk.commands.operator_context import (
     OperatorContext,
-    example,
+    format_example,
+    handle_errors,
     json_option,
     pass_operator,
-    reports_errors,
     show_json,
     wait_option,
 )
@@ -25,13 +25,15 @@
 __all__ = ["apply", "delete", "drain", "label", "undrain"]
 
 dry_run_option = click.option(
-    "--dry-run", is_flag=True, help="Check and show the difference; write nothing."
+    "--dry-run",
+    is_flag=True,
+    help="Validate and show the difference without writing it.",
 )
 kind_argument = click.argument("kind", type=click.Choice(list(KINDS)))
 
 
-class Wanted:
-    """One change that an operator asks for.
+class ObjectChange:
+    """One change of an object that an operator requests.
 
     :param method: PUT with an object, PATCH with fields, or DELETE.
     """
@@ -50,8 +52,8 @@
         return f"/operator/objects/{self.key}"
 
 
-class Run:
-    """The changes of one command: shows each, makes it, collects what came."""
+class ChangeSession:
+    """Makes the changes of one command, prints them and collects the results."""
 
     __slots__ = ("client", "dry_run", "as_json", "results")
 
@@ -61,23 +63,23 @@
         self.as_json = as_json
         self.results: list[dict[str, object]] = []
 
-    async def make(self, wanted: Wanted) -> None:
-        """Read the object, show what would change, and change it."""
-        expected = await self._revision(wanted)
+    async def apply_change(self, change: ObjectChange) -> None:
+        """Read the object, print the difference, and write it."""
+        expected = await self._read_revision(change)
         if expected == 0:
-            wanted = as_new(wanted)
-        shown = await self._send(wanted, expected, dry_run=True)
-        lines = shown.fields["difference"]
-        outcome = outcome_of(wanted.method, expected, bool(lines))
-        self._say(wanted.key, "would be " * self.dry_run + outcome, lines)
-        revision = shown.fields["revision"]
+            change = convert_to_creation(change)
+        preview = await self._send(change, expected, dry_run=True)
+        lines = preview.fields["difference"]
+        outcome = name_outcome(change.method, expected, bool(lines))
+        self._print_change(change.key, "would be " * self.dry_run + outcome, lines)
+        revision = preview.fields["revision"]
         if lines and not self.dry_run:
-            made = await self._send(wanted, expected, dry_run=False)
-            revision = made.fields["revision"]
-            self._say(wanted.key, f"{outcome} at revision {revision}", [])
+            reply = await self._send(change, expected, dry_run=False)
+            revision = reply.fields["revision"]
+            self._print_change(change.key, f"{outcome} at revision {revision}", [])
         self.results.append(
             {
-                "key": wanted.key,
+                "key": change.key,
                 "outcome": outcome,
                 "written": bool(lines) and not self.dry_run,
                 "revision": revision,
@@ -86,37 +88,37 @@
         )
 
     async def wait(self, seconds: float | None) -> dict[str, object] | None:
-        """Wait until all that was found or written is in force everywhere."""
+        """Wait until the newest revision found or written is in force everywhere."""
         if seconds is None or self.dry_run or not self.results:
             return None
         newest = max(one["revision"] for one in self.results)
 
-        def tell(counts: dict[str, object]) -> None:
+        def show_progress(counts: dict[str, object]) -> None:
             if not self.as_json:
                 click.echo(
                     f"revision {newest}: in force on {counts['nodes_in_force']} of "
                     f"{counts['nodes']} nodes"
                 )
 
-        return await self.client.wait(newest, seconds, tell)
+        return await self.client.wait(newest, seconds, show_progress)
 
-    async def _revision(self, wanted: Wanted) -> int:
-        """Return the object's revision in the service, 0 if there is none."""
+    async def _read_revision(self, change: ObjectChange) -> int:
+        """Return the object's revision in the key-value service, 0 if absent."""
         try:
-            found = await self.client.read(wanted.path, {"fresh": "1"})
+            found = await self.client.read(change.path, {"fresh": "1"})
         except EntryProblemError as error:
-            if error.code != "not_found" or wanted.method == "DELETE":
+            if error.code != "not_found" or change.method == "DELETE":
                 raise
             return 0
         return found.fields["revision"]
 
-    async def _send(self, wanted: Wanted, expected: int, dry_run: bool) -> Reply:
+    async def _send(self, change: ObjectChange, expected: int, dry_run: bool) -> Reply:
         return await self.client.change(
-            *(wanted.method, wanted.path, expected, wanted.body, wanted.write_id),
+            *(change.method, change.path, expected, change.body, change.write_id),
             dry_run=dry_run,
         )
 
-    def _say(self, key: str, outcome: str, lines: list[str]) -> None:
+    def _print_change(self, key: str, outcome: str, lines: list[str]) -> None:
         if self.as_json:
             return
         click.echo(f"{key}: {outcome}")
@@ -124,8 +126,8 @@
             click.echo(f"  {line}")
 
 
-def outcome_of(method: str, expected: int, different: bool) -> str:
-    """Return the word for what a change does."""
+def name_outcome(method: str, expected: int, different: bool) -> str:
+    """Return the name of a change's effect."""
     if not different:
         return "unchanged"
     if method == "DELETE":
@@ -133,65 +135,67 @@
     return "changed" if expected else "created"
 
 
-def as_new(wanted: Wanted) -> Wanted:
-    """Return the change that creates what there is no object of yet.
+def convert_to_creation(change: ObjectChange) -> ObjectChange:
+    """Return the change that creates an object which does not exist yet.
 
-    Workers announce themselves and need no object until operators say
-    something of them; anything else that is missing is more likely misspelt.
+    Workers announce themselves and have no object until an operator sets a label or
+    drains them; a missing object of another kind is more likely misspelt.
     """
-    if wanted.method == "PUT":
-        return wanted
-    kind, name = wanted.key.split("/")
+    if change.method == "PUT":
+        return change
+    kind, name = change.key.split("/")
     if kind != "worker":
         raise EntryProblemError(
             {
                 "status": 404,
                 "code": "not_found",
-                "detail": f"there is no {wanted.key}",
+                "detail": f"there is no {change.key}",
                 "remedy": "Create it with `cactuswalk apply`.",
             }
         )
-    labels = wanted.body.get("labels", {})
+    labels = change.body.get("labels", {})
     kept = {label: text for label, text in labels.items() if text is not None}
-    body = {"kind": kind, "name": name} | wanted.body | {"labels": kept}
-    return Wanted(wanted.key, "PUT", body, wanted.write_id)
+    body = {"kind": kind, "name": name} | change.body | {"labels": kept}
+    return ObjectChange(change.key, "PUT", body, change.write_id)
 
 
-def make_all(
+def apply_changes(
     operator: OperatorContext,
-    changes: list[Wanted],
+    changes: list[ObjectChange],
     wait_seconds: float | None,
     dry_run: bool,
     as_json: bool,
 ) -> None:
-    """Make changes in order; the first that fails ends the command."""
+    """Make changes in order; the first failure ends the command."""
 
-    async def talk(client: EntryClient) -> None:
-        session = Run(client, dry_run, as_json)
+    async def request(client: EntryClient) -> None:
+        session = ChangeSession(client, dry_run, as_json)
         report: dict[str, object] = {"results": session.results}
         try:
-            for wanted in changes:
-                await session.make(wanted)
+            for change in changes:
+                await session.apply_change(change)
             report["in_force"] = await session.wait(wait_seconds)
         except CactuswalkError as error:
-            tell_rest(session, changes, as_json)
+            print_skipped(session, changes, as_json)
             error.fields = getattr(error, "fields", {}) | report
             raise
         if as_json:
             show_json(report)
 
-    operator.converse(talk)
+    operator.run_with_client(request)
 
 
-def tell_rest(session: Run, changes: list[Wanted], as_json: bool) -> None:
-    """Name the changes that were not come to, so that none is taken for made."""
-    rest = [wanted.key for wanted in changes[len(session.results) + 1 :]]
-    if rest and not as_json:
-        click.echo(f"not come to: {', '.join(rest)}", err=True)
+def print_skipped(
+    session: ChangeSession, changes: list[ObjectChange], as_json: bool
+) -> None:
+    """Print the changes that were not attempted, so that none is taken for made."""
+    skipped = [change.key for change in changes[len(session.results) + 1 :]]
+    if skipped and not as_json:
+        click.echo(f"not attempted: {', '.join(skipped)}", err=True)
 
 
 @click.command(
-    epilog=example(
+    epilog=format_example(
         'echo \'{"kind": "team", "name": "rebuild", "weight": 3}\' |',
         "    cactuswalk apply -f - --wait 5",
     )
@@ -205,34 +209,34 @@
 @click.option(
     "--write-id",
     type=click.UUID,
-    help="Names these writes; repeat it to find out what became of lost ones.",
+    help="Identifier of these writes; repeat it to learn the outcome of lost ones.",
 )
 @wait_option
 @dry_run_option
 @json_option
 @pass_operator
-@reports_errors
+@handle_errors
 def apply(operator, source, write_id, wait_seconds, dry_run, as_json):
     """Create or replace objects as a JSON file describes them.
 
-    All objects are checked before the first is written. Each difference is
-    shown before it is made. Objects that are equal already are left alone.
+    All objects are validated before the first is written. Each difference is
+    shown before it is written. Objects without a difference stay unchanged.
     """
     try:
         text = source.read()
     except OSError as error:
         raise UsageError(f"{source.name}: {error}", "Give a readable file.") from error
     changes = [
-        Wanted(
+        ObjectChange(
             *(object_key(one), "PUT", msgspec.to_builtins(one)),
             str(uuid.uuid5(write_id or uuid.uuid4(), object_key(one))),
         )
         for one in read_objects(text)
     ]
-    make_all(operator, changes, wait_seconds, dry_run, as_json)
+    apply_changes(operator, changes, wait_seconds, dry_run, as_json)
 
 
-@click.command(epilog=example("cactuswalk label worker w7 tier=gold trial-"))
+@click.command(epilog=format_example("cactuswalk label worker w7 tier=gold trial-"))
 @kind_argument
 @click.argument("name")
 @click.argument("labels", nargs=-1, required=True)
@@ -240,53 +244,53 @@
 @dry_run_option
 @json_option
 @pass_operator
-@reports_errors
+@handle_errors
 def label(operator, kind, name, labels, wait_seconds, dry_run, as_json):
     """Set labels with LABEL=VALUE and remove them with LABEL-."""
     body = {"labels": dict(read_label(text) for text in labels)}
-    wanted = Wanted(f"{kind}/{name}", "PATCH", body, str(uuid.uuid4()))
-    make_all(operator, [wanted], wait_seconds, dry_run, as_json)
+    change = ObjectChange(f"{kind}/{name}", "PATCH", body, str(uuid.uuid4()))
+    apply_changes(operator, [change], wait_seconds, dry_run, as_json)
 
 
-@click.command(epilog=example("cactuswalk delete team trial --dry-run"))
+@click.command(epilog=format_example("cactuswalk delete team trial --dry-run"))
 @kind_argument
 @click.argument("name")
 @wait_option
 @dry_run_option
 @json_option
 @pass_operator
-@reports_errors
+@handle_errors
 def delete(operator, kind, name, wait_seconds, dry_run, as_json):
     """Delete an object.
 
-    A deleted worker object takes its labels and its drain with it; the worker
-    itself goes on announcing itself.
+    Deleting a worker's object removes its labels and its drain; the worker itself
+    continues to announce itself.
     """
-    wanted = Wanted(f"{kind}/{name}", "DELETE", None, str(uuid.uuid4()))
-    make_all(operator, [wanted], wait_seconds, dry_run, as_json)
+    change = ObjectChange(f"{kind}/{name}", "DELETE", None, str(uuid.uuid4()))
+    apply_changes(operator, [change], wait_seconds, dry_run, as_json)
 
 
-@click.command(epilog=example("cactuswalk drain w7 --wait 5"))
+@click.command(epilog=format_example("cactuswalk drain w7 --wait 5"))
 @click.argument("worker")
 @wait_option
 @dry_run_option
 @json_option
 @pass_operator
-@reports_errors
+@handle_errors
 def drain(operator, worker, wait_seconds, dry_run, as_json):
-    """Give a worker no new work; what runs there ends by itself."""
+    """Stop sending new tasks to a worker; running tasks finish."""
     set_drained(operator, worker, True, wait_seconds, dry_run, as_json)
 
 
-@click.command(epilog=example("cactuswalk undrain w7 --wait 5"))
+@click.command(epilog=format_example("cactuswalk undrain w7 --wait 5"))
 @click.argument("worker")
 @wait_option
 @dry_run_option
 @json_option
 @pass_operator
-@reports_errors
+@handle_errors
 def undrain(operator, worker, wait_seconds, dry_run, as_json):
-    """Give a drained worker work again."""
+    """Send tasks to a drained worker again."""
     set_drained(operator, worker, False, wait_seconds, dry_run, as_json)
 
 
@@ -298,17 +302,19 @@
     dry_run: bool,
     as_json: bool,
 ) -> None:
-    """Drain a worker, or give it work again."""
+    """Set whether a worker is drained."""
     body = {"drained": drained}
-    wanted = Wanted(f"worker/{worker}", "PATCH", body, str(uuid.uuid4()))
-    make_all(operator, [wanted], wait_seconds, dry_run, as_json)
+    change = ObjectChange(f"worker/{worker}", "PATCH", body, str(uuid.uuid4()))
+    apply_changes(operator, [change], wait_seconds, dry_run, as_json)
 
 
 def read_label(text: str) -> tuple[str, str | None]:
-    """Return a label and its value, None to remove it."""
+    """Parse a label and its value, which is None to remove the label."""
     name, sign, value = text.partition("=")
     if sign:
         return name, value
     if text.endswith("-"):
         return text[:-1], None
-    raise UsageError(f"{text!r} is no label", "Write LABEL=VALUE, or LABEL- to remove.")
+    raise UsageError(
+        f"{text!r} is not a valid label", "Write LABEL=VALUE, or LABEL- to remove."
+    )
--- a/src/cactuswalk/commands/operator_client.py
+++ b/src/cactuswalk/commands/operator_client.py
@@ -1,4 +1,4 @@
-"""Talk to the operators' interface of an entry, by HTTP."""
+"""HTTP client of the operators' interface of entries."""
 
 import asyncio
 import ssl
@@ -21,18 +21,18 @@
     "run",
 ]
 
-# The entry itself asks the key-value service for up to 10 s before it says
-# that it got no answer; a client that gave up earlier would not hear that.
+# An entry waits up to 10 s for the key-value service before it reports that it got no
+# answer; a client with a shorter timeout would not receive that report.
 TIMEOUT_SECONDS = 15.0
 CONNECT_SECONDS = 2.0
 
-# How often `--wait` asks. A change takes some tens of milliseconds to spread.
+# Interval of `--wait`. A change takes some tens of milliseconds to spread.
 POLL_SECONDS = 0.1
 
-# A change whose reply was lost is sent again this often, under its write id.
+# Number of times that a change without a reply is sent, with one write id.
 CHANGE_ATTEMPTS = 3
 
-# Documented in docs/operations/handbook.md; scripts act on them.
+# Documented in docs/operations/handbook.md; scripts depend on them.
 EXIT_CODES = {
     "not_found": 3,
     "conflict": 4,
@@ -46,9 +46,9 @@
 
 
 class EntryProblemError(CactuswalkError):
-    """An entry has answered with a problem.
+    """An entry has answered with a problem document.
 
-    :param fields: of the problem, see ``http.operators_problems``.
+    :param fields: of the document, see ``http.operators_problems``.
     """
 
     def __init__(self, fields: dict[str, object]) -> None:
@@ -61,39 +61,39 @@
 
 
 class EntryUnreachableError(CactuswalkError):
-    """No entry could be reached; nothing was asked of any."""
+    """No entry could be reached, so that no request was made."""
 
     code = "entry_unreachable"
     exit_code = 9
 
 
 class ReplyLostError(CactuswalkError):
-    """An entry was asked for a change, and its reply never came."""
+    """A change was sent to an entry, and no reply arrived."""
 
     code = "outcome_unknown"
     exit_code = 6
 
 
 class NotInForceError(CactuswalkError):
-    """A revision was accepted, and is not in force everywhere in time."""
+    """A revision was accepted, but is not in force everywhere in time."""
 
     code = "not_in_force"
     exit_code = 8
 
 
 class Reply(msgspec.Struct):
-    """An entry's answer."""
+    """The response of an entry."""
 
     status: int
     fields: dict[str, object]
 
 
 class EntryClient:
-    """A client of the entries that an operator has named.
+    """A client of the entries that an operator has configured.
 
-    :param endpoints: base addresses; the next is asked if one can't be reached.
-    :param certificate: file of the authority that signed the entries'
-        certificates; empty for the system's own authorities.
+    :param endpoints: base URLs; the next is tried if one can't be reached.
+    :param certificate: file of the authority that signed the entries' certificates;
+        empty for the authorities of the system.
     """
 
     __slots__ = ("endpoints", "token", "certificate", "session")
@@ -123,24 +123,26 @@
     async def read(self, path: str, query: dict[str, str] | None = None) -> Reply:
         """Read from the first entry that answers.
 
-        :raises EntryProblemError: as that entry has answered.
+        :raises EntryProblemError: if that entry answers with a problem.
         """
         failures = []
         for endpoint in self.endpoints:
             try:
                 return await self._send("GET", endpoint, path, query or {}, {}, None)
             except (aiohttp.ClientError, TimeoutError) as error:
-                failures.append(describe(endpoint, error))
-        raise unreachable(failures)
+                failures.append(format_failure(endpoint, error))
+        raise make_unreachable_error(failures)
 
     async def read_each(self, path: str, query: dict[str, str]) -> list[Reply]:
-        """Read from every entry that was named; each must answer."""
+        """Read from every configured entry; each must answer."""
         replies = []
         for endpoint in self.endpoints:
             try:
                 replies.append(await self._send("GET", endpoint, path, query, {}, None))
             except (aiohttp.ClientError, TimeoutError) as error:
-                raise unreachable([describe(endpoint, error)]) from error
+                raise make_unreachable_error(
+                    [format_failure(endpoint, error)]
+                ) from error
         return replies
 
     async def change(
@@ -152,12 +154,12 @@
         write_id: str = "",
         dry_run: bool = False,
     ) -> Reply:
-        """Ask for a change; one whose reply is lost is sent again.
+        """Request a change; it is sent again if its reply is lost.
 
-        The write id makes that safe: whichever copy comes first is made, and
-        the others are told so.
+        The write id makes that safe: the copy that arrives first is written, and the
+        others get its result.
 
-        :param expected: revision that the change builds on; 0 for a new object.
+        :param expected: revision on which the change is based; 0 for a new object.
         """
         write_id = write_id or str(uuid.uuid4())
         condition = (
@@ -174,30 +176,30 @@
                 return await self._send(method, endpoint, path, query, headers, body)
             except (aiohttp.ClientError, TimeoutError) as error:
                 sent = sent or not isinstance(error, aiohttp.ClientConnectorError)
-                failures.append(describe(endpoint, error))
+                failures.append(format_failure(endpoint, error))
         if not sent or dry_run:
-            raise unreachable(failures)
+            raise make_unreachable_error(failures)
         raise ReplyLostError(
-            f"no reply came to the write {write_id}: {'; '.join(failures)}",
-            "Run the same command again; what has been written is then shown.",
+            f"no reply to the write {write_id}: {'; '.join(failures)}",
+            "Run the same command again; it then shows what has been written.",
         )
 
-    async def act(self, path: str, query: dict[str, str]) -> Reply:
-        """Have an entry do what does no more harm when it is done again."""
+    async def post(self, path: str, query: dict[str, str]) -> Reply:
+        """Send an idempotent POST request to the first entry that answers."""
         failures = []
         for endpoint in self.endpoints:
             try:
                 return await self._send("POST", endpoint, path, query, {}, None)
             except (aiohttp.ClientError, TimeoutError) as error:
-                failures.append(describe(endpoint, error))
-        raise unreachable(failures)
+                failures.append(format_failure(endpoint, error))
+        raise make_unreachable_error(failures)
 
     async def wait(
-        self, revision: int, seconds: float, tell: Callable[[dict], None]
+        self, revision: int, seconds: float, show_progress: Callable[[dict], None]
     ) -> dict[str, object]:
-        """Wait until a revision is in force on every node that is known.
+        """Wait until a revision is in force on every known node.
 
-        :param tell: called with each new count.
+        :param show_progress: called with the counts when they change.
         :raises NotInForceError: if that takes longer than ``seconds``.
         """
         loop = asyncio.get_running_loop()
@@ -206,9 +208,9 @@
         while True:
             query = {"revision": str(revision)}
             replies = await self.read_each("/operator/in-force", query)
-            counts = worst([reply.fields for reply in replies])
+            counts = merge_counts([reply.fields for reply in replies])
             if counts != last:
-                tell(counts)
+                show_progress(counts)
             last = counts
             if counts["everywhere"]:
                 return counts
@@ -216,7 +218,7 @@
                 raise NotInForceError(
                     f"revision {revision} is in force on {counts['nodes_in_force']} "
                     f"of {counts['nodes']} nodes after {seconds:g} s",
-                    "It is accepted and goes on spreading: `cactuswalk wait "
+                    "It was accepted and is still spreading: `cactuswalk wait "
                     f"{revision}`, and `cactuswalk status` for the nodes.",
                 )
             await asyncio.sleep(min(POLL_SECONDS, max(0.0, deadline - loop.time())))
@@ -234,14 +236,14 @@
         async with self.session.request(
             method, endpoint + path, params=query, headers=headers, data=data
         ) as response:
-            fields = fields_of(await response.read(), response.status)
+            fields = decode_fields(await response.read(), response.status)
         if response.status >= 400:
             raise EntryProblemError(fields)
         return Reply(response.status, fields)
 
 
-def fields_of(data: bytes, status: int) -> dict[str, object]:
-    """Return the JSON of an answer; a balancer's own pages are no JSON."""
+def decode_fields(data: bytes, status: int) -> dict[str, object]:
+    """Return the JSON of a response; a balancer's own error pages are not JSON."""
     try:
         return msgspec.json.decode(data, type=dict[str, object])
     except msgspec.MsgspecError as error:
@@ -249,14 +251,14 @@
             {
                 "status": status,
                 "code": "no_entry",
-                "detail": f"the answer (status {status}) is not an entry's: {error}",
-                "remedy": "Name the operators' address of an entry with --endpoint.",
+                "detail": f"the answer (status {status}) is not from an entry: {error}",
+                "remedy": "Give the operators' address of an entry with --endpoint.",
             }
         ) from error
 
 
-def worst(replies: list[dict[str, object]]) -> dict[str, object]:
-    """Return the counts of the entry that knows of the fewest nodes in force."""
+def merge_counts(replies: list[dict[str, object]]) -> dict[str, object]:
+    """Return the counts of the entry that misses the most nodes, over all replies."""
     chosen = min(replies, key=lambda one: one["nodes_in_force"] - one["nodes"])
     everywhere = all(
         one["entry_in_force"] and one["nodes_in_force"] == one["nodes"]
@@ -272,13 +274,13 @@
     }
 
 
-def describe(endpoint: str, error: Exception) -> str:
-    """Return what went wrong with an endpoint."""
+def format_failure(endpoint: str, error: Exception) -> str:
+    """Return the text for a failed endpoint."""
     return f"{endpoint}: {error or type(error).__name__}"
 
 
-def unreachable(failures: list[str]) -> EntryUnreachableError:
-    """Return the error for entries that gave no answer."""
+def make_unreachable_error(failures: list[str]) -> EntryUnreachableError:
+    """Return the error for endpoints that all failed."""
     return EntryUnreachableError(
         f"no entry answered: {'; '.join(failures)}",
         "Check the address with --endpoint and that the entry runs; nothing was "
@@ -287,5 +289,5 @@
 
 
 def run(action: Awaitable[Result]) -> Result:
-    """Run one command's conversation on a loop of its own."""
+    """Run the requests of a command on a new event loop."""
     return uvloop.run(action)
--- a/src/cactuswalk/commands/operator_context.py
+++ b/src/cactuswalk/commands/operator_context.py
@@ -1,4 +1,4 @@
-"""What the operators' commands have in common: options, output, exit status."""
+"""Options, output and error handling shared by the operators' commands."""
 
 import configparser
 import functools
@@ -13,11 +13,11 @@
 
 __all__ = [
     "OperatorContext",
-    "example",
+    "format_example",
     "json_option",
     "pass_operator",
     "read_settings",
-    "reports_errors",
+    "handle_errors",
     "show_json",
     "show_table",
     "wait_option",
@@ -28,7 +28,7 @@
 
 
 class OperatorContext:
-    """Where the entries are, and how this operator is known to them."""
+    """Addresses of the entries, and the credentials for them."""
 
     __slots__ = ("endpoints", "token", "certificate")
 
@@ -38,29 +38,32 @@
         self.certificate = certificate
 
     def client(self) -> EntryClient:
-        """Return a client, or raise for what is missing."""
+        """Return a client.
+
+        :raises UsageError: if no entry or token is configured.
+        """
         if not self.endpoints:
             raise UsageError(
-                "no entry is named",
+                "no entry is configured",
                 "Give --endpoint http://IP:PORT, CACTUSWALK_ENDPOINT, or 'endpoint' "
                 f"under [{SECTION}] in the file of --settings.",
             )
         if not self.token:
             raise UsageError(
-                "no token is given",
+                "no token is configured",
                 f"Set CACTUSWALK_TOKEN, or 'token' under [{SECTION}] in the file of "
                 "--settings.",
             )
         return EntryClient(self.endpoints, self.token, self.certificate)
 
-    def converse(self, talk: Callable) -> object:
-        """Run ``talk(client)`` with an open client and return its result."""
+    def run_with_client(self, request: Callable) -> object:
+        """Run ``request(client)`` with an open client and return its result."""
 
-        async def conversation() -> object:
+        async def open_and_request() -> object:
             async with self.client() as client:
-                return await talk(client)
+                return await request(client)
 
-        return run(conversation())
+        return run(open_and_request())
 
 
 pass_operator = click.make_pass_decorator(OperatorContext)
@@ -78,8 +81,8 @@
 )
 
 
-def example(*lines: str) -> str:
-    """Return the end of a command's help: an example that click leaves as it is."""
+def format_example(*lines: str) -> str:
+    """Return an example for the end of a command's help, which click does not wrap."""
     return "\n".join(("\b", "Example:", *(f"  {line}" for line in lines)))
 
 
@@ -109,8 +112,8 @@
     return fields
 
 
-def reports_errors(command: Callable) -> Callable:
-    """Make a command end with an error's text, remedy and exit status."""
+def handle_errors(command: Callable) -> Callable:
+    """Make a command end with an error's message, remedy and exit status."""
 
     @functools.wraps(command)
     def wrapped(*arguments: object, **options: object) -> object:
@@ -126,7 +129,7 @@
 
 
 def error_fields(error: CactuswalkError) -> dict[str, object]:
-    """Return what a script reads of an error."""
+    """Return the fields of an error in JSON output."""
     fields = {"code": error.code, "message": error.message, "remedy": error.remedy}
     return fields | getattr(error, "fields", {})
 
@@ -137,7 +140,7 @@
 
 
 def show_table(headings: tuple[str, ...], rows: Iterable[tuple]) -> None:
-    """Print a table whose columns are as wide as their widest cell."""
+    """Print a table with aligned columns."""
     lines = [headings, *(tuple(str(cell) for cell in row) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
--- a/src/cactuswalk/commands/operator_settings.py
+++ b/src/cactuswalk/commands/operator_settings.py
@@ -1,13 +1,13 @@
-"""The command that checks the settings of daemons before they start."""
+"""The command that validates the settings of daemons before they start."""
 
 import importlib
 
 import click
 
 from cactuswalk.commands.operator_context import (
-    example,
+    format_example,
+    handle_errors,
     json_option,
-    reports_errors,
     show_json,
 )
 
@@ -23,19 +23,19 @@
 
 @click.command(
     name="check-settings",
-    epilog=example("cactuswalk check-settings entry /etc/cactuswalk/entry.ini"),
+    epilog=format_example("cactuswalk check-settings entry /etc/cactuswalk/entry.ini"),
 )
 @click.argument("role", type=click.Choice(list(LOADERS)))
 @click.argument("path", type=click.Path())
 @json_option
-@reports_errors
+@handle_errors
 def check_settings(role, path, as_json):
-    """Check a settings file as the daemon does at its start; exit 2 if wrong.
+    """Validate a settings file as the daemon does at start; exit 2 if invalid.
 
     All mistakes are shown, each with its field, value and remedy. No entry is
-    asked.
+    contacted.
     """
-    # The daemons' settings are not needed by any other command.
+    # Imported here, since no other command needs the settings of the daemons.
     settings = importlib.import_module("cactuswalk.settings")
     getattr(settings, LOADERS[role])(path)
     if as_json:
--- a/src/cactuswalk/commands/operator_trace.py
+++ b/src/cactuswalk/commands/operator_trace.py
@@ -1,4 +1,4 @@
-"""``cactuswalk trace``: the story of one job from the logs of many processes."""
+"""``cactuswalk trace``: the events of one job, from the logs of all processes."""
 
 import json
 from collections.abc import Iterator
@@ -7,18 +7,18 @@
 import click
 import msgspec
 
-from cactuswalk.commands.operator_context import reports_errors
+from cactuswalk.commands.operator_context import handle_errors
 from cactuswalk.errors import CactuswalkError
 from cactuswalk.logfields import LINE_FIELDS
 
 __all__ = ["trace"]
 
-# Fields that each line has, whatever it tells.
+# Fields of every log line, which are not shown as details.
 COMMON_FIELDS = LINE_FIELDS | {"job"}
 
 
-class NotTracedError(CactuswalkError):
-    """No line of the logs tells of the job."""
+class JobNotFoundError(CactuswalkError):
+    """No line of the logs contains the job."""
 
     code = "not_found"
     exit_code = 3
@@ -33,10 +33,10 @@
     fields: dict[str, object]
 
     def show(self) -> str:
-        """Return the line as a person reads it."""
+        """Return the line in a readable format."""
         time = datetime.fromtimestamp(self.at, UTC).strftime("%H:%M:%S.%f")[:-3]
-        told = " ".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"{time}  {self.process:<24} {self.message}  {told}".rstrip()
+        details = " ".join(f"{name}={value}" for name, value in self.fields.items())
+        return f"{time}  {self.process:<24} {self.message}  {details}".rstrip()
 
 
 @click.command()
@@ -48,28 +48,28 @@
     required=True,
     type=click.File("r", encoding="utf-8", errors="replace"),
     metavar="FILE",
-    help="Log of a process; give it again for more, and - for standard input.",
+    help="Log of a process; repeat it for more; - for standard input.",
 )
-@reports_errors
+@handle_errors
 def trace(job, logs):
-    """Tell the story of a JOB in order, each step with its reason.
+    """Show the events of a JOB in order, each with its reason.
 
-    Reads the logs of entries and agents; needs no process to be running. Lines
-    that are no log lines are passed over. docs/OPERATIONS.md shows how to read it.
+    Reads the logs of entries and agents; no process has to be running. Lines that
+    are not log lines are skipped. docs/OPERATIONS.md explains the output.
 
     Example: cactuswalk trace 5c0e7a21d94b36f8 --log entry.log --log agent.log
     """
-    lines = [line for log in logs for line in _lines_about(job, log)]
+    lines = [line for log in logs for line in _read_job_lines(job, log)]
     if not lines:
-        raise NotTracedError(
-            f"no line tells of the job {job!r}",
-            "Give the logs of all entries: one of them has answered it.",
+        raise JobNotFoundError(
+            f"no log line contains the job {job!r}",
+            "Give the logs of all entries, one of which has answered the job.",
         )
     for line in sorted(lines, key=lambda line: line.at):
         click.echo(line.show())
 
 
-def _lines_about(job: str, log) -> Iterator[TracedLine]:
+def _read_job_lines(job: str, log) -> Iterator[TracedLine]:
     for text in log:
         start = text.find("{")
         if start < 0 or job not in text:
@@ -77,7 +77,7 @@
         try:
             line = json.loads(text[start:])
         except ValueError:
-            # Another program's line, or one that was cut off by a kill.
+            # A line of another program, or one truncated when the process was killed.
             continue
         if not isinstance(line, dict) or line.get("job") != job:
             continue
--- a/src/cactuswalk/commands/process.py
+++ b/src/cactuswalk/commands/process.py
@@ -1,4 +1,4 @@
-"""What the daemons' commands share."""
+"""Common parts of the daemons' commands."""
 
 import asyncio
 import contextlib
@@ -15,21 +15,21 @@
 from cactuswalk.errors import CactuswalkError
 from cactuswalk.runtime.signals import STOP_SIGNALS
 
-__all__ = ["daemon_command", "lean_loading"]
+__all__ = ["make_daemon_command", "fast_imports"]
 
-# Names the file of the authorities that TLS trusts; aiohttp reads it while it is
-# imported.
+# Path of the certificate authorities that TLS trusts; aiohttp loads the file while it
+# is imported.
 AUTHORITIES_VARIABLE = "SSL_CERT_FILE"
 
 
-def daemon_command(
+def make_daemon_command(
     name: str, help_text: str, make: Callable, variable: str | None = None
 ) -> click.Command:
     """Return the command of a daemon.
 
-    :param make: given the path of the settings, returns the process object.
-    :param variable: of the environment, which names the settings if the option
-        doesn't.
+    :param make: called with the path of the settings; returns the process object.
+    :param variable: environment variable with the path of the settings, used if the
+        option is not given.
     """
 
     @click.command(name, help=help_text)
@@ -47,8 +47,9 @@
             process = make(path)
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(process.run())
-                # A supervisor that asks again would kill a process that has
-                # finished everything, and see a failed stop.
+                # Ignored from here on: a second signal from a supervisor would kill a
+                # process that has finished all its work, which looks like a failed
+                # stop.
                 for number in STOP_SIGNALS:
                     signal.signal(number, signal.SIG_IGN)
         except CactuswalkError as error:
@@ -62,17 +63,17 @@
 
 
 @contextlib.contextmanager
-def lean_loading() -> Iterator[None]:
-    """Import a process's modules without what it never needs.
+def fast_imports() -> Iterator[None]:
+    """Import a process's modules without garbage collection and TLS authorities.
 
-    For daemons that speak plain HTTP alone: nothing that is loaded here, or after,
-    trusts an authority. After a power cut callers wait for exactly this.
+    For daemons that use plain HTTP only: no code that is loaded here, or later, has to
+    trust an authority. After a power failure, callers wait for these imports.
     """
     os.environ[AUTHORITIES_VARIABLE] = os.devnull
     gc.disable()
     try:
         yield
     finally:
-        # What was loaded stays for good, and need not be looked through again.
+        # The imported objects stay until exit, so collections can skip them.
         gc.freeze()
         gc.enable()
