--- a/features/code_comments.feature
+++ b/features/code_comments.feature
@@ -1,12 +1,12 @@
-Feature: Comments tell what code is for, and not how its figures were found
+Feature: Comments explain the code and not how its figures were measured
 
-  A figure beside the code is out of date with the next change, and a story of tuning
-  hides what the code prevents. Both stand in commits and in docs/.
+  A measured figure in a comment is outdated by the next change, and an account of
+  tuning hides the reason for the code. Both belong in commits and in docs/.
 
-  Scenario: No comment or docstring of the product tells of measurements
+  Scenario: No comment or docstring under src reports measurements
     When the comments and docstrings under src are read
-    Then none names a benchmark, a fixture, or what was measured
+    Then none mentions a benchmark, a fixture or a measurement
 
-  Scenario: A comment that does is noticed
+  Scenario: A comment that reports a measurement is detected
     When a comment says "0.92 of the lookups on time, for 0.72 on the fixture"
-    Then it is noticed
+    Then it is detected
--- a/features/configuration_fakes.py
+++ b/features/configuration_fakes.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, and nodes joined by a bag of messages."""
+"""An in-memory key-value service, and nodes joined by a simulated network."""
 
 import types
 import typing
@@ -16,9 +16,9 @@
 from cactuswalk.state.configuration import ConfigurationSync, Replica
 from cactuswalk.state.events import KeyRead, KeySwapped, SwapOutcome
 
-# A round is over after some hundred deliveries; nodes that answer one another
-# without end would keep the network busy with nothing.
-MOST_DELIVERIES = 3000
+# A round ends after some hundred deliveries; more indicate that nodes answer each
+# other endlessly.
+MAX_DELIVERIES = 3000
 
 
 class FakeChange(typing.NamedTuple):
@@ -33,32 +33,32 @@
 
 
 @types.coroutine
-def pause():
-    """Let whoever steps the coroutine choose what happens next."""
+def yield_to_test():
+    """Suspend, so that the test chooses what happens next."""
     yield
 
 
 class FakeService:
-    """Compare-and-swap with one revision for all keys, and its faults."""
+    """A store with compare-and-swap, one revision for all keys, and injected faults."""
 
     def __init__(self):
         self.revision = 0
         self.keys = {}
         self.log = []
-        self.away = False
+        self.unavailable = False
         self.lose_reply = False
         self.lose_request = False
 
     async def read(self, key):
-        await pause()
-        if self.away:
+        await yield_to_test()
+        if self.unavailable:
             return KeyRead(key, False, None, 0)
         value, revision = self.keys.get(key, (None, 0))
         return KeyRead(key, True, value, revision)
 
     async def swap(self, key, expected, value, write_id):
-        await pause()
-        if self.away or self.lose_request:
+        await yield_to_test()
+        if self.unavailable or self.lose_request:
             self.lose_request = False
             return KeySwapped(key, write_id, SwapOutcome.UNKNOWN, 0)
         if self.keys.get(key, (None, 0))[1] != expected:
@@ -70,8 +70,8 @@
         return KeySwapped(key, write_id, SwapOutcome.APPLIED, self.revision)
 
     async def list(self, prefix):
-        await pause()
-        if self.away:
+        await yield_to_test()
+        if self.unavailable:
             raise ServiceUnavailableError("no answer", "Wait.")
         return self.revision, self.entries(prefix)
 
@@ -88,12 +88,12 @@
         ]
 
     def lose_data(self):
-        """Come back empty, counting revisions from the start."""
+        """Lose all data and start again at revision 0."""
         self.revision, self.keys, self.log = 0, {}, []
 
 
 def drive(coroutine):
-    """Run a coroutine that only waits for the fakes to its end."""
+    """Run a coroutine that awaits only these fakes until it returns."""
     try:
         while True:
             coroutine.send(None)
@@ -102,7 +102,7 @@
 
 
 class Node:
-    """One process: its replica, what it has shown, and whom it talks to."""
+    """One process: its replica, the revisions observed at it, and its peers."""
 
     def __init__(self, cluster, name, make_replica):
         self.cluster = cluster
@@ -113,12 +113,12 @@
         self.start()
 
     def start(self):
-        """Start anew, with nothing."""
+        """Start with an empty state."""
         self.replica = self.make_replica()
         self.sync = ConfigurationSync(self.replica)
-        self.shown = {}
+        self.observed_revisions = {}
 
-    def take(self, sender, message, now):
+    def handle(self, sender, message, now):
         if isinstance(message, ConfigurationOffer):
             return self.sync.on_offer(sender, message, now)
         if isinstance(message, ConfigurationRequest):
@@ -128,7 +128,7 @@
     def publish(self, update, sender="", now=0.0):
         before = self.replica.revision
         applied, sends = self.sync.on_update(sender, update, now)
-        self.check_never_back()
+        self.check_revisions_grow()
         if self.replica.revision > before or applied.objects:
             sends = sends + self.sync.make_offers(self.peers)
             sends = sends + self.sync.make_updates(before, self.agents)
@@ -137,24 +137,26 @@
     def tick(self, now):
         return self.sync.tick(now)
 
-    def tell(self):
-        """Return what rides on pings and reports in every round."""
+    def make_offers(self):
+        """Return the offers that are sent with pings and reports in each round."""
         return self.sync.make_offers(self.peers + self.agents)
 
-    def check_never_back(self):
-        """Judge from outside: nothing that was seen here may go back."""
-        for key, seen in self.shown.items():
+    def check_revisions_grow(self):
+        """Assert that no object has returned to an earlier revision."""
+        for key, seen in self.observed_revisions.items():
             held = self.replica.objects[key].revision
             assert held >= seen, f"{self.name}: {key} from {seen} to {held}"
-        self.shown = {key: one.revision for key, one in self.replica.objects.items()}
+        self.observed_revisions = {
+            key: one.revision for key, one in self.replica.objects.items()
+        }
 
 
 class Cluster:
-    """Two entries that watch the service, owners beneath them, agents beneath."""
+    """Two entries that watch the service, owners below them, and agents below those."""
 
     def __init__(self, make_replica=Replica, owners=2, agents=2):
         self.service = FakeService()
-        self.bag = []
+        self.in_flight = []
         self.now = 0.0
         self.nodes = {}
         self.entries = [self.add(f"entry{i}", make_replica) for i in range(2)]
@@ -185,23 +187,25 @@
         return publish
 
     def send(self, node, sends):
-        """Put messages into the bag, as the bytes that the wire would carry."""
+        """Add messages to the network in their encoded form."""
         for one in sends:
-            self.bag.append((one.address, encode(Envelope(node.name, [one.message]))))
+            self.in_flight.append(
+                (one.address, encode(Envelope(node.name, [one.message])))
+            )
 
     def deliver(self, index, keep=False):
-        """Deliver one message of the bag; with ``keep`` it will come again."""
-        if not self.bag:
+        """Deliver one message in flight; with ``keep`` it is delivered again later."""
+        if not self.in_flight:
             return
-        index %= len(self.bag)
-        address, frame = self.bag[index] if keep else self.bag.pop(index)
+        index %= len(self.in_flight)
+        address, frame = self.in_flight[index] if keep else self.in_flight.pop(index)
         envelope = decode(frame)
         node = self.nodes[address]
         for message in envelope.messages:
-            self.send(node, node.take(envelope.sender, message, self.now))
+            self.send(node, node.handle(envelope.sender, message, self.now))
 
     def list(self, entry, snapshot=None):
-        """Let an entry read all, as it does when its watch is new."""
+        """Let an entry read all objects, as at the start of a watch."""
         follower = ConfigurationFollower(self.keys)
         revision, listed = snapshot or self.snapshot()
         self.followers[entry.name] = [follower, revision]
@@ -211,8 +215,8 @@
         return self.service.revision, self.service.entries(self.keys.prefix)
 
     def watch(self, entry, events=1):
-        """Bring the next events of an entry's watch; a new watch lists first."""
-        if self.service.away:
+        """Deliver the next events of an entry's watch; a new watch reads all first."""
+        if self.service.unavailable:
             return
         if entry.name not in self.followers:
             self.list(entry)
@@ -228,7 +232,7 @@
             self.publisher(entry)(follower.make_update(FakeChanges(False, news)))
 
     def restart(self, node):
-        """Replace a process by a new one with an empty memory."""
+        """Replace a process by one with an empty state."""
         node.start()
         self.followers.pop(node.name, None)
         if node in self.entries:
@@ -238,13 +242,13 @@
             )
 
     def settle(self, rounds=8):
-        """Let pings and reports flow without loss until nothing is new."""
+        """Exchange pings and reports without loss for some rounds."""
         for _ in range(rounds):
             self.now += 1.0
             for entry in self.entries:
                 self.watch(entry, events=1000)
             for node in self.nodes.values():
-                self.send(node, node.tell())
-            for _ in range(MOST_DELIVERIES):
+                self.send(node, node.make_offers())
+            for _ in range(MAX_DELIVERIES):
                 self.deliver(0)
-            assert not self.bag, "nodes go on answering one another"
+            assert not self.in_flight, "nodes answer each other endlessly"
--- a/features/configuration_workers.feature
+++ b/features/configuration_workers.feature
@@ -1,6 +1,6 @@
 Feature: Operators' labels and selectors decide which workers serve
 
-  Scenario: Labels, selectors and drains over what a worker announces
+  Scenario: Labels, selectors and drains applied to what a worker announces
     Given a configuration in which gold workers serve routes
     Then a configured worker serves as follows
       | announced tier | operators' tier | drained | serves | drained there |
@@ -10,8 +10,8 @@
       | gold           | silver          | no      | no     | no            |
       | gold           |                 | yes     | yes    | yes           |
 
-  Scenario: Labels and selectors survive the way through the service
-    Operators' words come from two fleets. A label that changed on its way
-    would let work land where nobody wanted it.
+  Scenario: Labels and selectors are unchanged by storing and replicating them
+    The labels come from the operators of two fleets. One that changed on the way to
+    an agent would let tasks run on workers that were not selected.
     When Hypothesis writes labels and selectors to the service and back
-    Then each came back as it was given, and selects the same workers
+    Then each is read back unchanged and selects the same workers
--- a/features/operators_server.py
+++ b/features/operators_server.py
@@ -1,4 +1,4 @@
-"""An entry's operators' interface in a thread, over a fake service."""
+"""An operators' interface served by a thread, with a fake key-value service."""
 
 import asyncio
 import hashlib
@@ -21,7 +21,7 @@
 
 
 class OperatorsServer:
-    """The interface, what lies behind it, and where it listens."""
+    """The interface with its replica and service, and its HTTP server."""
 
     def __init__(self):
         self.service = FakeService()
--- a/features/steps/code_comments_steps.py
+++ b/features/steps/code_comments_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what comments may tell."""
+"""Steps for the check of comments for measurements."""
 
 import ast
 import io
@@ -10,17 +10,17 @@
 
 SOURCES = Path(__file__).resolve().parent.parent.parent / "src"
 
-STORY = re.compile(
+MEASUREMENT = re.compile(
     r"virtual clock|\bfixture|\bbench|\bmeasured (with|on|at)|tracemalloc|medians? of"
     r"|\b(was|were) seen|times the (usual )?load|, for 0\.\d",
     re.IGNORECASE,
 )
 
 
-def comments(text):
+def extract_comments(text):
     """Return the comments and docstrings of a source text, each as one line.
 
-    Comments that follow each other are one, so that a phrase may cross their lines.
+    Comments on consecutive lines are joined, so that a phrase may span lines.
     """
     found = []
     last_line = -1
@@ -44,25 +44,27 @@
     context.found = [
         (path.name, comment)
         for path in sorted(SOURCES.rglob("*.py"))
-        for comment in comments(path.read_text(encoding="utf-8"))
+        for comment in extract_comments(path.read_text(encoding="utf-8"))
     ]
     assert len(context.found) > 1000
 
 
 @when('a comment says "{words}"')
-def step_planted(context, words):
-    context.found = [("planted", comment) for comment in comments(f"# {words}\nx = 1")]
+def step_example(context, words):
+    context.found = [
+        ("example", comment) for comment in extract_comments(f"# {words}\nx = 1")
+    ]
 
 
-def stories(context):
-    return [row for row in context.found if STORY.search(row[1])]
+def find_measurements(context):
+    return [row for row in context.found if MEASUREMENT.search(row[1])]
 
 
-@then("none names a benchmark, a fixture, or what was measured")
+@then("none mentions a benchmark, a fixture or a measurement")
 def step_none(context):
-    assert not stories(context), stories(context)
+    assert not find_measurements(context), find_measurements(context)
 
 
-@then("it is noticed")
-def step_noticed(context):
-    assert len(stories(context)) == 1
+@then("it is detected")
+def step_detected(context):
+    assert len(find_measurements(context)) == 1
--- a/features/steps/codec_steps.py
+++ b/features/steps/codec_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the codec of messages."""
+"""Steps for encoding and decoding messages."""
 
 from behave import given, then, when
 
@@ -7,7 +7,7 @@
 from cactuswalk.model import Member
 
 
-@given("the bytes of something that is no envelope")
+@given("bytes that are not an envelope")
 def step_bytes(context):
     context.frame = b"\x93\x01\x02\x03"
 
@@ -35,9 +35,9 @@
 
 @when("it is encoded and decoded")
 def step_round_trip(context):
-    context.back = decode(encode(context.envelope))
+    context.decoded = decode(encode(context.envelope))
 
 
-@then("the same envelope comes back")
+@then("the decoded envelope equals the original")
 def step_same(context):
-    assert context.back == context.envelope
+    assert context.decoded == context.envelope
--- a/features/steps/configuration_service_steps.py
+++ b/features/steps/configuration_service_steps.py
@@ -17,7 +17,7 @@
 
 
 class Entry:
-    """An entry's replica, with a client and a watch of its own."""
+    """An entry's replica with its own client and watch."""
 
     def __init__(self, service, name, seed):
         self.store = memory_store(service, name, seed)
@@ -36,7 +36,7 @@
             self.published.set()
 
     async def change(self, who, number, expected=0):
-        """Ask for a change of w1; return the acceptance or the error."""
+        """Request a change of w1; return the accepted change or the error."""
         after = WorkerEntry(name="w1", labels={"who": who})
         request = ChangeRequest(
             *("worker/w1", expected, f"write-{who}-{number}", who, 0, "replace"),
@@ -48,8 +48,8 @@
             return error
 
 
-class Site:
-    """A service in virtual time, and two entries."""
+class Deployment:
+    """A key-value service in virtual time and two entries."""
 
     def __init__(self):
         self.loop = VirtualLoop()
@@ -58,7 +58,7 @@
 
     async def start(self):
         self.service = KeyValueService()
-        # Other parts write to the service as well, and count its revision on.
+        # Other components write to the service too, which increments its revision.
         self.service.store.put(b"cells/north", b"{}")
         self.entries = [
             Entry(self.service, name, seed) for seed, name in enumerate("ab")
@@ -74,34 +74,34 @@
 
     async def stop(self):
         await self.service.stop()
-        rest = asyncio.all_tasks() - {asyncio.current_task()}
-        for task in rest:
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}
+        for task in remaining:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
+        await asyncio.gather(*remaining, return_exceptions=True)
 
 
 @given("two configuration entries on a service in virtual time")
 def step_site(context):
-    context.site = Site()
-    context.clean_ups = [context.site.close]
+    context.deployment = Deployment()
+    context.clean_ups = [context.deployment.close]
 
 
 @when("ana changes worker w1 at the first configuration entry")
 def step_change(context):
     async def work():
-        context.won = await context.site.entries[0].change("ana", 1)
+        context.won = await context.deployment.entries[0].change("ana", 1)
         await asyncio.sleep(1)
 
-    context.site.run(work())
+    context.deployment.run(work())
 
 
 @when("the service loses the reply to ana's change and ion changes w1 meanwhile")
 def step_lost_then_next(context):
-    site = context.site
+    deployment = context.deployment
 
     async def work():
-        first, second = site.entries
-        site.service.set_faults({"lose_reply": 1})
+        first, second = deployment.entries
+        deployment.service.set_faults({"lose_reply": 1})
         ana = asyncio.create_task(first.change("ana", 1))
         await second.published.wait()
         revision = second.replica.revision
@@ -109,50 +109,50 @@
         context.lost = await ana
         await asyncio.sleep(5)
 
-    site.run(work())
+    deployment.run(work())
 
 
 @when("ana and ion change w1 at once and the service loses 2 replies")
 def step_both_lost(context):
-    site = context.site
+    deployment = context.deployment
 
     async def work():
-        first, second = site.entries
-        site.service.set_faults({"lose_reply": 2})
+        first, second = deployment.entries
+        deployment.service.set_faults({"lose_reply": 2})
         context.both = await asyncio.gather(
             first.change("ana", 1), second.change("ion", 1)
         )
         await asyncio.sleep(5)
 
-    site.run(work())
+    deployment.run(work())
 
 
 @when("ana changes worker w1 while the service is down for a minute")
 def step_down(context):
-    site = context.site
+    deployment = context.deployment
 
     async def work():
-        site.service.set_faults({"down": True})
-        context.lost = await site.entries[0].change("ana", 1)
+        deployment.service.set_faults({"down": True})
+        context.lost = await deployment.entries[0].change("ana", 1)
         await asyncio.sleep(60)
-        site.service.set_faults({"down": False})
+        deployment.service.set_faults({"down": False})
         await asyncio.sleep(60)
 
-    site.run(work())
+    deployment.run(work())
 
 
 @when("the service is down for a minute and ana changes w1 just after")
 def step_after(context):
-    site = context.site
+    deployment = context.deployment
 
     async def work():
-        site.service.set_faults({"down": True})
+        deployment.service.set_faults({"down": True})
         await asyncio.sleep(60)
-        site.service.set_faults({"down": False})
-        context.won = await site.entries[0].change("ana", 1)
+        deployment.service.set_faults({"down": False})
+        context.won = await deployment.entries[0].change("ana", 1)
         await asyncio.sleep(60)
 
-    site.run(work())
+    deployment.run(work())
 
 
 @then("both configuration entries hold ana's change at its revision")
@@ -161,7 +161,7 @@
 def step_hold(context):
     won = context.won
     assert getattr(won, "written", False), won
-    for entry in context.site.entries:
+    for entry in context.deployment.entries:
         stored = entry.replica.objects["worker/w1"]
         assert stored.revision == won.revision, (stored, won)
         assert entry.replica.get("worker", "w1") == won.object
@@ -176,7 +176,7 @@
     assert lost.revision < context.won.revision, (lost, context.won)
 
 
-@then("one of the two was accepted and the other told who won")
+@then("one change was accepted and the other operator told of the conflict")
 def step_one_won(context):
     won = [one for one in context.both if getattr(one, "written", False)]
     lost = [one for one in context.both if isinstance(one, ConflictError)]
@@ -186,8 +186,8 @@
     assert lost[0].revision == won[0].revision
 
 
-@then('ana is told "{code}" and no such change is ever seen')
+@then('ana is told "{code}" and the change never appears')
 def step_told(context, code):
     assert context.lost.code == code, context.lost
-    for entry in context.site.entries:
+    for entry in context.deployment.entries:
         assert entry.replica.objects == {}
--- a/features/steps/configuration_spread_steps.py
+++ b/features/steps/configuration_spread_steps.py
@@ -112,8 +112,8 @@
         self.cluster.deliver(first, keep=True)
 
     def drop(self, first, second):
-        if self.cluster.bag:
-            self.cluster.bag.pop(first % len(self.cluster.bag))
+        if self.cluster.in_flight:
+            self.cluster.in_flight.pop(first % len(self.cluster.in_flight))
 
     def watch(self, first, second):
         self.cluster.watch(self.cluster.entries[first % 2], 1 + second % 2)
@@ -123,14 +123,14 @@
 
     def stale_list(self, first, second):
         """Restart a watch from an outdated list, as if its reply was delayed."""
-        if self.old is not None and not self.cluster.service.away:
+        if self.old is not None and not self.cluster.service.unavailable:
             self.cluster.list(self.cluster.entries[first % 2], self.old)
 
     def away(self, first, second):
-        self.cluster.service.away = True
+        self.cluster.service.unavailable = True
 
     def back(self, first, second):
-        self.cluster.service.away = False
+        self.cluster.service.unavailable = False
 
     def lose_reply(self, first, second):
         self.cluster.service.lose_reply = True
@@ -151,7 +151,7 @@
         """Send the pings or reports of a node."""
         nodes = list(self.cluster.nodes.values())
         node = nodes[first % len(nodes)]
-        self.cluster.send(node, node.tell())
+        self.cluster.send(node, node.make_offers())
 
     def tick(self, first, second):
         self.cluster.now += 0.05 * (1 + second)
@@ -162,12 +162,12 @@
         """Complete all requests and deliver all messages, first without the service."""
         while self.pending:
             self.step(0, 0)
-        self.cluster.service.away = True
+        self.cluster.service.unavailable = True
         self.cluster.settle()
         # A change known only to a replaced process is lost until the service is back.
         if not self.replaced:
             self.check_accepted()
-        self.cluster.service.away = False
+        self.cluster.service.unavailable = False
         self.cluster.settle()
         self.check_accepted()
         self.check_written()
@@ -288,7 +288,7 @@
 @when("the service becomes unavailable just after another change is accepted")
 def step_away_after(context):
     context.second = context.make(1, request_of(2, 0, name="w2"))
-    context.cluster.service.away = True
+    context.cluster.service.unavailable = True
     context.cluster.settle()
 
 
@@ -302,7 +302,7 @@
 
 @when("the service becomes unavailable and an entry and an agent are replaced")
 def step_replaced(context):
-    context.cluster.service.away = True
+    context.cluster.service.unavailable = True
     for name in ("entry0", "agent1.0"):
         context.cluster.restart(context.cluster.nodes[name])
     context.cluster.settle()
@@ -341,7 +341,7 @@
     coroutine = context.cluster.changes[0].apply(request_of(2, 1))
     for _ in range(4):
         coroutine.send(None)
-    service.away = True
+    service.unavailable = True
     context.second = outcome(coroutine)
 
 
@@ -352,7 +352,7 @@
 
 @then("repeated with the same write id it is accepted once, at its first revision")
 def step_repeated(context):
-    context.cluster.service.away = False
+    context.cluster.service.unavailable = False
     again = context.make(1, request_of(2, 1))
     assert (again.revision, again.written) == (2, True), again
     assert len(context.cluster.service.log) == 2
--- a/features/steps/configuration_workers_steps.py
+++ b/features/steps/configuration_workers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what the configuration makes of workers."""
+"""Steps for the effect of the configuration on workers."""
 
 import hypothesis.strategies as st
 from behave import given, then, when
@@ -53,7 +53,7 @@
 
 @st.composite
 def selectors(draw):
-    """Draw a selector in the grammar's words."""
+    """Draw a valid selector."""
     requirements = []
     for _ in range(draw(st.integers(0, 3))):
         label, values = draw(WORD), draw(st.lists(WORD, min_size=1, max_size=3))
@@ -88,6 +88,6 @@
     write()
 
 
-@then("each came back as it was given, and selects the same workers")
+@then("each is read back unchanged and selects the same workers")
 def step_came_back(context):
     assert context.round_trips >= 200, context.round_trips
--- a/features/steps/operators_command_steps.py
+++ b/features/steps/operators_command_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the operators' command, run as a person would."""
+"""Steps for the operators' command, run through its command line."""
 
 import pathlib
 import shlex
@@ -34,8 +34,8 @@
         context.server.service.put(cell_key(cell), msgspec.json.encode(record))
 
 
-def run(context, arguments, stdin=None, **environment):
-    """Run the command; an environment variable of None is left out."""
+def run_command(context, arguments, stdin=None, **environment):
+    """Run the command; None removes an environment variable."""
     defaults = {
         "CACTUSWALK_ENDPOINT": context.server.endpoint,
         "CACTUSWALK_TOKEN": TOKEN,
@@ -48,39 +48,39 @@
 
 @when("an operator applies '{text}' with \"{options}\"")
 def step_apply_with(context, text, options):
-    run(context, ["apply", "-f", "-", *shlex.split(options)], text)
+    run_command(context, ["apply", "-f", "-", *shlex.split(options)], text)
 
 
 @when("an operator applies '{text}'")
 def step_apply(context, text):
-    run(context, ["apply", "-f", "-"], text)
+    run_command(context, ["apply", "-f", "-"], text)
 
 
 @when('an operator runs "{line}"')
 def step_run(context, line):
-    run(context, shlex.split(line))
+    run_command(context, shlex.split(line))
 
 
 @when('an operator without a valid token runs "{line}"')
 def step_run_without(context, line):
-    run(context, shlex.split(line), CACTUSWALK_TOKEN="guessed")
+    run_command(context, shlex.split(line), CACTUSWALK_TOKEN="guessed")
 
 
-@when('an operator runs "{line}" against a port where nobody listens')
+@when('an operator runs "{line}" against a port without a listener')
 def step_run_nobody(context, line):
     with socket.socket() as bound:
-        # Bound and not listening: nobody else can take the port meanwhile.
+        # Bound but not listening, so that no other process can take the port.
         bound.bind(("127.0.0.1", 0))
         port = bound.getsockname()[1]
         endpoint = f"http://127.0.0.1:{port}"
-        run(context, shlex.split(line), CACTUSWALK_ENDPOINT=endpoint)
+        run_command(context, shlex.split(line), CACTUSWALK_ENDPOINT=endpoint)
 
 
 def run_with_settings(context, line, fields):
     with tempfile.TemporaryDirectory() as directory:
         path = pathlib.Path(directory) / "operator.ini"
         path.write_text("[operator]\n" + fields, encoding="utf-8")
-        run(
+        run_command(
             context,
             ["--settings", str(path), *shlex.split(line)],
             CACTUSWALK_ENDPOINT=None,
@@ -104,20 +104,20 @@
     with tempfile.TemporaryDirectory() as directory:
         path = pathlib.Path(directory) / "agent.ini"
         path.write_text("[process]\nworker =\n", encoding="utf-8")
-        run(context, ["check-settings", "agent", str(path)])
+        run_command(context, ["check-settings", "agent", str(path)])
 
 
-# As the installed command, whose name the shell's variable is made of.
+# Runs as the installed command, whose name the completion variable contains.
 COMMAND = (
     "import sys; sys.argv = ['cactuswalk']; "
     "from cactuswalk.commands.operator import main; main()"
 )
 
 
-def complete(context, what, **environment):
+def run_completion(context, instruction, **environment):
     done = subprocess.run(
         [sys.executable, "-c", COMMAND],
-        env={"PYTHONPATH": str(ROOT / "src"), "_CACTUSWALK_COMPLETE": what}
+        env={"PYTHONPATH": str(ROOT / "src"), "_CACTUSWALK_COMPLETE": instruction}
         | environment,
         capture_output=True,
         text=True,
@@ -128,14 +128,14 @@
 
 @when("a shell asks for the completion script of the operators' command")
 def step_completion_script(context):
-    # Of bash's none is printed where bash is missing or too old.
-    complete(context, "zsh_source")
+    # zsh, since click prints no script for bash if bash is missing or too old.
+    run_completion(context, "zsh_source")
 
 
 @when('a shell completes "{words}"')
 def step_complete(context, words):
     last = str(len(words.split()) - 1)
-    complete(context, "bash_complete", COMP_WORDS=words, COMP_CWORD=last)
+    run_completion(context, "bash_complete", COMP_WORDS=words, COMP_CWORD=last)
 
 
 @then('the completion has the line "{line}"')
@@ -160,9 +160,9 @@
     assert len(context.server.service.log) == count, context.server.service.log
 
 
-@when("the fake service goes away under the operators")
-def step_service_away(context):
-    context.server.service.away = True
+@when("the fake service becomes unavailable")
+def step_service_unavailable(context):
+    context.server.service.unavailable = True
 
 
 @when("the fake service loses the next request of an operator")
@@ -175,8 +175,8 @@
     context.server.lose_http_replies = 1
 
 
-@when("the operators' interface knows of a node that hears nothing")
-def step_deaf(context):
+@when("the operators' interface knows a node that receives nothing")
+def step_isolated_node(context):
     context.server.states = [(0, ())]
 
 
@@ -185,5 +185,5 @@
     for name in operator_group.commands:
         page = ROOT / "docs" / "operations" / "commands" / f"{name}.md"
         assert page.exists(), page
-        run(context, [name, "--help"])
+        run_command(context, [name, "--help"])
         assert f"cactuswalk {name}" in context.result.output, context.result.output
