--- a/features/configuration_fakes.py
+++ b/features/configuration_fakes.py
@@ -147,7 +147,7 @@
             held = self.replica.objects[key].revision
             assert held >= seen, f"{self.name}: {key} from {seen} to {held}"
         self.observed_revisions = {
-            key: one.revision for key, one in self.replica.objects.items()
+            key: stored.revision for key, stored in self.replica.objects.items()
         }
 
 
@@ -166,8 +166,8 @@
             owner.peers = [entry.name for entry in self.entries]
             for entry in self.entries:
                 entry.peers.append(owner.name)
-            for one in range(agents):
-                agent = self.add(f"agent{number}.{one}", make_replica)
+            for index in range(agents):
+                agent = self.add(f"agent{number}.{index}", make_replica)
                 agent.peers = [owner.name]
                 owner.agents.append(agent.name)
         self.keys = ConfigurationKeys(self.service)
@@ -188,9 +188,9 @@
 
     def send(self, node, sends):
         """Add messages to the network in their encoded form."""
-        for one in sends:
+        for send in sends:
             self.in_flight.append(
-                (one.address, encode(Envelope(node.name, [one.message])))
+                (send.address, encode(Envelope(node.name, [send.message])))
             )
 
     def deliver(self, index, keep=False):
@@ -222,14 +222,14 @@
             self.list(entry)
             return
         follower, position = self.followers[entry.name]
-        news = [
-            one
-            for one in self.service.log
-            if one.mod_revision > position and one.key.startswith(self.keys.prefix)
+        new_events = [
+            event
+            for event in self.service.log
+            if event.mod_revision > position and event.key.startswith(self.keys.prefix)
         ][:events]
-        if news:
-            self.followers[entry.name][1] = news[-1].mod_revision
-            self.publisher(entry)(follower.make_update(FakeChanges(False, news)))
+        if new_events:
+            self.followers[entry.name][1] = new_events[-1].mod_revision
+            self.publisher(entry)(follower.make_update(FakeChanges(False, new_events)))
 
     def restart(self, node):
         """Replace a process by one with an empty state."""
--- a/features/steps/configuration_service_steps.py
+++ b/features/steps/configuration_service_steps.py
@@ -178,8 +178,8 @@
 
 @then("one change was accepted and the other operator told of the conflict")
 def step_one_won(context):
-    won = [one for one in context.both if getattr(one, "written", False)]
-    lost = [one for one in context.both if isinstance(one, ConflictError)]
+    won = [result for result in context.both if getattr(result, "written", False)]
+    lost = [result for result in context.both if isinstance(result, ConflictError)]
     assert (len(won), len(lost)) == (1, 1), context.both
     context.won = won[0]
     assert lost[0].who == won[0].object.labels["who"]
--- a/src/cactuswalk/commands/operator_changes.py
+++ b/src/cactuswalk/commands/operator_changes.py
@@ -91,7 +91,7 @@
         """Wait until the newest revision found or written is in force everywhere."""
         if seconds is None or self.dry_run or not self.results:
             return None
-        newest = max(one["revision"] for one in self.results)
+        newest = max(result["revision"] for result in self.results)
 
         def show_progress(counts: dict[str, object]) -> None:
             if not self.as_json:
@@ -228,10 +228,10 @@
         raise UsageError(f"{source.name}: {error}", "Give a readable file.") from error
     changes = [
         ObjectChange(
-            *(object_key(one), "PUT", msgspec.to_builtins(one)),
-            str(uuid.uuid5(write_id or uuid.uuid4(), object_key(one))),
+            *(object_key(new_object), "PUT", msgspec.to_builtins(new_object)),
+            str(uuid.uuid5(write_id or uuid.uuid4(), object_key(new_object))),
         )
-        for one in read_objects(text)
+        for new_object in read_objects(text)
     ]
     apply_changes(operator, changes, wait_seconds, dry_run, as_json)
 
--- a/src/cactuswalk/commands/operator_client.py
+++ b/src/cactuswalk/commands/operator_client.py
@@ -259,17 +259,17 @@
 
 def merge_counts(replies: list[dict[str, object]]) -> dict[str, object]:
     """Return the counts of the entry that misses the most nodes, over all replies."""
-    chosen = min(replies, key=lambda one: one["nodes_in_force"] - one["nodes"])
+    chosen = min(replies, key=lambda counts: counts["nodes_in_force"] - counts["nodes"])
     everywhere = all(
-        one["entry_in_force"] and one["nodes_in_force"] == one["nodes"]
-        for one in replies
+        counts["entry_in_force"] and counts["nodes_in_force"] == counts["nodes"]
+        for counts in replies
     )
     return {
         "revision": chosen["revision"],
         "nodes": chosen["nodes"],
         "nodes_in_force": chosen["nodes_in_force"],
         "entries": len(replies),
-        "entries_in_force": sum(bool(one["entry_in_force"]) for one in replies),
+        "entries_in_force": sum(bool(counts["entry_in_force"]) for counts in replies),
         "everywhere": everywhere,
     }
 
--- a/src/cactuswalk/commands/operator_views.py
+++ b/src/cactuswalk/commands/operator_views.py
@@ -47,7 +47,7 @@
         show_json(found)
         return
     headings = ("KIND", "NAME", "REVISION", "LABELS", "FIELDS")
-    show_table(headings, (make_row(one) for one in found))
+    show_table(headings, (make_row(item) for item in found))
 
 
 @click.command(epilog=format_example("cactuswalk describe worker w7"))
@@ -140,8 +140,8 @@
         show_json(found)
         return
     rows = (
-        (one["worker"], "yes" if one["fits"] else "no", one["verdict"])
-        for one in found["workers"]
+        (verdict["worker"], "yes" if verdict["fits"] else "no", verdict["verdict"])
+        for verdict in found["workers"]
     )
     show_table(("WORKER", "FITS", "WHY"), rows)
     if found.get("summary"):
@@ -203,15 +203,15 @@
 def show_nested(value: object, indent: str) -> None:
     """Print mappings and lists as indented lines."""
     if isinstance(value, dict):
-        for name, one in value.items():
-            show_field(name, one, indent)
+        for name, item in value.items():
+            show_field(name, item, indent)
         return
-    for one in value:
-        if isinstance(one, dict):
-            cells = ", ".join(f"{name}={text}" for name, text in one.items())
+    for item in value:
+        if isinstance(item, dict):
+            cells = ", ".join(f"{name}={text}" for name, text in item.items())
             click.echo(f"{indent}{cells}")
         else:
-            click.echo(f"{indent}{one}")
+            click.echo(f"{indent}{item}")
 
 
 def show_field(name: str, value: object, indent: str) -> None:
--- a/src/cactuswalk/messages/cell.py
+++ b/src/cactuswalk/messages/cell.py
@@ -78,7 +78,7 @@
 class Ping(msgspec.Struct, array_like=True, tag=22):
     """The owner asks an agent to confirm its epoch.
 
-    :param serial: repeated in the pong; the owner's confirmation is dated from the
+    :param serial: repeated in the pong; the owner counts a confirmation from the
         time at which it sent the ping, never from the arrival of the pong.
     :param configuration: the configuration revision in force at the owner.
     :param announcement: serial of the agent's announcement that the owner has;
--- a/src/cactuswalk/model/configuration.py
+++ b/src/cactuswalk/model/configuration.py
@@ -133,7 +133,10 @@
     code = "invalid_object"
 
     def __init__(self, mistakes: list[Mistake]) -> None:
-        lines = [f"{one.field} = {one.value}: {one.remedy}" for one in mistakes]
+        lines = [
+            f"{mistake.field} = {mistake.value}: {mistake.remedy}"
+            for mistake in mistakes
+        ]
         super().__init__("; ".join(lines), "Correct each field; nothing was written.")
         self.mistakes = mistakes
 
@@ -312,9 +315,9 @@
         return [check_object(data)]
     mistakes: list[Mistake] = []
     objects: dict[str, OperatorObject] = {}
-    for index, one in enumerate(data):
+    for index, item in enumerate(data):
         try:
-            checked = check_object(one)
+            checked = check_object(item)
         except ConfigurationError as error:
             for mistake in error.mistakes:
                 field = f"[{index}].{mistake.field}"
--- a/src/cactuswalk/model/holding.py
+++ b/src/cactuswalk/model/holding.py
@@ -82,16 +82,17 @@
     """Return whether a submission belongs to the cell with these holdings."""
     slot = compute_slot(submission)
     return any(
-        one.service == service and one.contains(slot, created_ms) for one in holdings
+        holding.service == service and holding.contains(slot, created_ms)
+        for holding in holdings
     )
 
 
 def count_open_slots(holdings: list[Holding], service: str) -> int:
     """Return the number of slots held for keys created in the future."""
     return sum(
-        one.last - one.first + 1
-        for one in holdings
-        if one.service == service and one.until_ms == 0
+        holding.last - holding.first + 1
+        for holding in holdings
+        if holding.service == service and holding.until_ms == 0
     )
 
 
@@ -104,11 +105,11 @@
     """
     slot = compute_slot(submission)
     later, earlier = "", ""
-    for one in holdings:
-        if one.service != service or not one.first <= slot <= one.last:
+    for holding in holdings:
+        if holding.service != service or not holding.first <= slot <= holding.last:
             continue
-        if one.until_ms and created_ms >= one.until_ms:
-            later = one.ceded_to
-        elif created_ms < one.since_ms:
-            earlier = earlier or one.ceded_by
+        if holding.until_ms and created_ms >= holding.until_ms:
+            later = holding.ceded_to
+        elif created_ms < holding.since_ms:
+            earlier = earlier or holding.ceded_by
     return later or earlier
