--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -169,7 +169,7 @@
 
 @then("the upstream has started each task 1 time")
 def step_each_once(context):
-    assert context.upstream.double_starts() == []
+    assert context.upstream.find_double_starts() == []
     starts = [r for r in context.upstream.records if r["event"] == "start"]
     assert len(starts) == 20, starts
 
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for systems outside the product, used by tests and the demo."""
+"""Stand-ins for systems outside cactuswalk, used by tests and the demo."""
--- a/standins/network.py
+++ b/standins/network.py
@@ -1,8 +1,8 @@
-"""A stand-in of the network before each process, with switches for its faults.
+"""TCP proxies in front of each process, with faults that are set at run time.
 
-Each link listens at the address that other processes are told and passes bytes on
-to where the process listens. ``POST /standin/links`` takes, by name of a link, how
-it is from now on; ``DELETE`` makes all links right again.
+Each link listens at the address that is announced to other processes and forwards
+bytes to the port where the process listens. ``POST /standin/links`` takes the faults
+of each link by its name; ``DELETE`` clears the faults of all links.
 """
 
 import asyncio
@@ -12,20 +12,20 @@
 import msgspec
 from aiohttp import web
 
-__all__ = ["Conduct", "Link", "Network"]
+__all__ = ["Link", "LinkFaults", "Network"]
 
 HOST = "127.0.0.1"
 CHUNK_BYTES = 65_536
 
 
-class Conduct(msgspec.Struct, forbid_unknown_fields=True):
-    """How a link is at the moment.
+class LinkFaults(msgspec.Struct, forbid_unknown_fields=True):
+    """Faults of one link.
 
-    :param broken: connections are closed and none is made; what was under way
-        is lost.
-    :param stalled: nothing passes and nothing is lost; it arrives once the link
-        is right again.
-    :param late_ms: everything arrives so much later, in order.
+    :param broken: open connections are aborted and new ones rejected; bytes in
+        flight are lost.
+    :param stalled: nothing is delivered, but nothing is lost; bytes are delivered
+        once the fault is cleared.
+    :param late_ms: delay of all bytes; their order is kept.
     """
 
     broken: bool = False
@@ -34,99 +34,101 @@
 
 
 class Link:
-    """What passes towards one process.
+    """A proxy for the connections to one process.
 
-    :param port: where it listens for others.
-    :param target: the port of the process itself.
+    :param port: where the link listens.
+    :param target: the port where the process listens.
     """
 
     def __init__(self, port: int, target: int) -> None:
         self.port = port
         self.target = target
-        self.conduct = Conduct()
-        self.open = asyncio.Event()
-        self.open.set()
+        self.faults = LinkFaults()
+        self.unstalled = asyncio.Event()
+        self.unstalled.set()
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> asyncio.Server:
-        """Listen."""
-        return await asyncio.start_server(self._connected, HOST, self.port)
-
-    def behave(self, conduct: Conduct) -> None:
-        """Be like this from now on."""
-        self.conduct = conduct
-        if conduct.stalled:
-            self.open.clear()
+        """Start to accept connections."""
+        return await asyncio.start_server(self._handle_connection, HOST, self.port)
+
+    def set_faults(self, faults: LinkFaults) -> None:
+        """Replace the faults; ``broken`` aborts the open connections at once."""
+        self.faults = faults
+        if faults.stalled:
+            self.unstalled.clear()
         else:
-            self.open.set()
-        if conduct.broken:
+            self.unstalled.set()
+        if faults.broken:
             for writer in self.writers:
                 writer.transport.abort()
 
-    async def _connected(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Pass on what one connection brings, until either end closes it."""
-        if self.conduct.broken:
+        """Forward a connection in both directions until either end closes it."""
+        if self.faults.broken:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(HOST, self.target)
+            target_reader, target_writer = await asyncio.open_connection(
+                HOST, self.target
+            )
         except OSError:
-            # The process is not there: the caller is to see it as without us.
+            # The process is not listening: the caller gets an error here as well.
             writer.transport.abort()
             return
-        both = {writer, far_writer}
-        self.writers |= both
-        passing = [
-            asyncio.create_task(self._pass(reader, far_writer)),
-            asyncio.create_task(self._pass(far_reader, writer)),
+        writers = {writer, target_writer}
+        self.writers |= writers
+        forwarding = [
+            asyncio.create_task(self._forward(reader, target_writer)),
+            asyncio.create_task(self._forward(target_reader, writer)),
         ]
-        await asyncio.wait(passing, return_when=asyncio.FIRST_COMPLETED)
-        for task in passing:
+        await asyncio.wait(forwarding, return_when=asyncio.FIRST_COMPLETED)
+        for task in forwarding:
             task.cancel()
-        for one in both:
-            one.transport.abort()
-        self.writers -= both
+        for connected in writers:
+            connected.transport.abort()
+        self.writers -= writers
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        under_way: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue()
-        delivering = asyncio.create_task(self._deliver(under_way, writer))
-        clock = asyncio.get_running_loop().time
+        in_flight: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue()
+        delivery = asyncio.create_task(self._deliver(in_flight, writer))
+        read_clock = asyncio.get_running_loop().time
         try:
             while data := await reader.read(CHUNK_BYTES):
-                under_way.put_nowait((clock() + self.conduct.late_ms / 1000, data))
+                in_flight.put_nowait((read_clock() + self.faults.late_ms / 1000, data))
         except ConnectionError:
             pass
         finally:
-            delivering.cancel()
+            delivery.cancel()
 
     async def _deliver(
-        self, under_way: asyncio.Queue, writer: asyncio.StreamWriter
+        self, in_flight: asyncio.Queue, writer: asyncio.StreamWriter
     ) -> None:
-        clock = asyncio.get_running_loop().time
+        read_clock = asyncio.get_running_loop().time
         while True:
-            due, data = await under_way.get()
-            await asyncio.sleep(max(0.0, due - clock()))
-            await self.open.wait()
+            due_at, data = await in_flight.get()
+            await asyncio.sleep(max(0.0, due_at - read_clock()))
+            await self.unstalled.wait()
             writer.write(data)
 
 
 class Network:
-    """All links, and their switches over HTTP."""
+    """All links, and the HTTP interface that sets their faults."""
 
     def __init__(self, links: dict[str, Link]) -> None:
         self.links = links
 
     async def serve(self, port: int) -> None:
-        """Serve until the process is ended."""
+        """Run the links and the HTTP interface until cancelled."""
         for link in self.links.values():
             await link.start()
         application = web.Application()
-        application.router.add_post("/standin/links", self._set)
-        application.router.add_delete("/standin/links", self._clear)
+        application.router.add_post("/standin/links", self._set_link_faults)
+        application.router.add_delete("/standin/links", self._clear_link_faults)
         runner = web.AppRunner(application)
         await runner.setup()
         await web.TCPSite(runner, HOST, port).start()
@@ -135,36 +137,46 @@
         finally:
             await runner.cleanup()
 
-    async def _set(self, request: web.Request) -> web.Response:
-        wanted = msgspec.json.decode(await request.read(), type=dict[str, Conduct])
-        for name, conduct in wanted.items():
-            self.links[name].behave(conduct)
+    async def _set_link_faults(self, request: web.Request) -> web.Response:
+        faults_by_link = msgspec.json.decode(
+            await request.read(), type=dict[str, LinkFaults]
+        )
+        for name, faults in faults_by_link.items():
+            self.links[name].set_faults(faults)
         return web.json_response({})
 
-    async def _clear(self, request: web.Request) -> web.Response:
+    async def _clear_link_faults(self, request: web.Request) -> web.Response:
         for link in self.links.values():
-            link.behave(Conduct())
+            link.set_faults(LinkFaults())
         return web.json_response({})
 
 
 async def _run(port: int, links: dict[str, tuple[int, int]]) -> None:
-    made = {name: Link(*ports) for name, ports in links.items()}
-    await Network(made).serve(port)
+    links_by_name = {name: Link(*ports) for name, ports in links.items()}
+    await Network(links_by_name).serve(port)
 
 
 @click.command()
-@click.option("--port", required=True, type=int, help="Of the switches.")
+@click.option("--port", required=True, type=int, help="Port of the HTTP interface.")
 @click.option(
     "--link",
     "links",
     multiple=True,
     type=(str, int, int),
-    help="Its name, where it listens, and the port of the process.",
+    help="Name, listening port and port of the process.",
 )
 def main(port: int, links: tuple[tuple[str, int, int], ...]) -> None:
     """Run the network stand-in on the loopback."""
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(_run(port, {name: (near, far) for name, near, far in links}))
+        asyncio.run(
+            _run(
+                port,
+                {
+                    name: (listen_port, target_port)
+                    for name, listen_port, target_port in links
+                },
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,7 +1,7 @@
-"""A stand-in for an upstream: it runs tasks by sleeping, and records each start.
+"""Stand-in for an upstream that simulates tasks by sleeping and records each start.
 
-Its record is the judge of double starts: a task of a submission must have one
-start in the records of all upstreams together. Faults are switched at run time.
+Tests detect double starts by these records: a task of a submission may have only one
+start in the records of all upstreams together. Faults are set at run time.
 
     python -m standins.upstream --port 0 --port-file F --agent http://127.0.0.1:7001 \
         --name w1 --service booking --slots 8 --record FILE
@@ -23,17 +23,17 @@
 
 __all__ = ["Faults", "Options", "StandInUpstream", "main", "make_application"]
 
-ANNOUNCE_EVERY_SECONDS = 0.5
+ANNOUNCE_INTERVAL_SECONDS = 0.5
 
-# A busy agent takes longer to answer than the time between two renewals.
+# Longer than the interval, as a busy agent may take more than that to answer.
 ANNOUNCE_TIMEOUT_SECONDS = 1.0
 
-# After its withdrawal an upstream may still get what was on its way.
-QUIET_BEFORE_EXIT_SECONDS = 0.5
+# Requests that were in flight may still arrive after the upstream's withdrawal.
+IDLE_BEFORE_EXIT_SECONDS = 0.5
 
 
 class Options(msgspec.Struct):
-    """What the stand-in is, and what it announces."""
+    """Command-line options of the stand-in, most of which it announces."""
 
     name: str
     service: str
@@ -49,16 +49,16 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What goes wrong from now on; what is left out is right again.
+    """Active faults; each request replaces them all, omitted ones by the defaults.
 
     :param slow: factor on every run time.
-    :param frozen: nothing moves and nothing is announced until it is unset.
+    :param frozen: no task starts or ends and nothing is announced until it is unset.
     :param fail: every task fails at once, without running.
-    :param cut: half of the answer is sent, then the connection closed.
-    :param close: the work is done, and the connection closed without answer.
-    :param late_ms: a finished answer is held back for this long.
-    :param twice: the answer is sent twice on its connection, which stays open.
-    :param usage_late_ms: a report of use tells what was so this long ago.
+    :param cut: half of the response is sent, then the connection is closed.
+    :param close: the task runs, then the connection is closed without a response.
+    :param late_ms: delay of a finished task's response.
+    :param twice: the response is sent twice on its connection, which stays open.
+    :param usage_late_ms: age of the data in a usage report.
     """
 
     slow: float = 1.0
@@ -72,7 +72,7 @@
 
 
 class RunningTask:
-    """A task while it runs; ``changed`` wakes it to look at its fields."""
+    """A running task; ``changed`` wakes it after a stop or a throttle."""
 
     __slots__ = ("attempt", "changed", "factor", "left", "memory_mb", "stopped")
 
@@ -85,20 +85,23 @@
         self.stopped = False
 
     async def run(self, slow: float) -> None:
-        """Sleep for the task's time, unless it is stopped or throttled."""
+        """Sleep for the task's run time, longer if throttled, until it is stopped.
+
+        :param slow: factor on the run time.
+        """
         while self.left > 0 and not self.stopped:
-            began = time.monotonic()
-            pace = self.factor * slow
+            started_at = time.monotonic()
+            time_factor = self.factor * slow
             self.changed.clear()
             try:
-                await asyncio.wait_for(self.changed.wait(), self.left * pace)
+                await asyncio.wait_for(self.changed.wait(), self.left * time_factor)
             except TimeoutError:
                 return
-            self.left -= (time.monotonic() - began) / pace
+            self.left -= (time.monotonic() - started_at) / time_factor
 
 
 class StandInUpstream:
-    """The state of one stand-in: its record, its faults, its running tasks."""
+    """The state of one stand-in: records, faults and running tasks."""
 
     def __init__(self, options: Options) -> None:
         self.options = options
@@ -107,14 +110,16 @@
         self.unfrozen.set()
         self.records: list[dict] = []
         self.running: dict[tuple[str, int], RunningTask] = {}
-        self.most_running = 0
+        self.max_running = 0
         self.peers: set[tuple] = set()
         self.record_file = None
         if options.record:
             self.record_file = Path(options.record).open("a", encoding="utf-8")
 
-    def note(self, event: str, submission: str, index: int, **fields: object) -> None:
-        """Append to the record; a line reaches its file before anything goes on."""
+    def add_record(
+        self, event: str, submission: str, index: int, **fields: object
+    ) -> None:
+        """Append to the records; the line is flushed to the file before returning."""
         record = {
             "event": event,
             "submission": submission,
@@ -128,18 +133,18 @@
             self.record_file.write(json.dumps(record) + "\n")
             self.record_file.flush()
 
-    def double_starts(self) -> list[list]:
-        """Return each (submission, index) that has started here more than once."""
-        seen: dict[tuple[str, int], int] = {}
+    def find_double_starts(self) -> list[list]:
+        """Return submission, index and starts of each task started more than once."""
+        start_counts: dict[tuple[str, int], int] = {}
         for record in self.records:
             if record["event"] == "start":
                 key = (record["submission"], record["index"])
-                seen[key] = seen.get(key, 0) + 1
-        return [[*key, starts] for key, starts in seen.items() if starts > 1]
+                start_counts[key] = start_counts.get(key, 0) + 1
+        return [[*key, starts] for key, starts in start_counts.items() if starts > 1]
 
 
 async def run_task(upstream: StandInUpstream, request: web.Request):
-    """Run a task: sleep for its ``duration_ms``, answer a digest of its input."""
+    """Sleep for the task's ``duration_ms`` and return a digest of its body."""
     body = await request.read()
     if request.transport is not None:
         upstream.peers.add(request.transport.get_extra_info("peername"))
@@ -153,10 +158,12 @@
     except (KeyError, ValueError, AttributeError, TypeError) as error:
         return web.json_response({"error": f"no task: {error!r}"}, status=400)
     await upstream.unfrozen.wait()
-    upstream.note("start", submission, index, attempt=attempt, work=work.get("work"))
+    upstream.add_record(
+        "start", submission, index, attempt=attempt, work=work.get("work")
+    )
     task = RunningTask(seconds, attempt, memory_mb)
     upstream.running[submission, index] = task
-    upstream.most_running = max(upstream.most_running, len(upstream.running))
+    upstream.max_running = max(upstream.max_running, len(upstream.running))
     outcome = "cut"
     try:
         if upstream.faults.fail:
@@ -167,7 +174,7 @@
         outcome = "stopped" if task.stopped else "done"
     finally:
         upstream.running.pop((submission, index), None)
-        upstream.note("end", submission, index, attempt=attempt, outcome=outcome)
+        upstream.add_record("end", submission, index, attempt=attempt, outcome=outcome)
     if task.stopped:
         return web.json_response({"error": "stopped"}, status=503)
     answer = {
@@ -182,14 +189,16 @@
 
 
 async def deliver(faults: Faults, request: web.Request, body: bytes):
-    """Send the answer, or what the faults leave of it."""
+    """Return the response, or send what the faults leave of it."""
     if faults.late_ms:
         await asyncio.sleep(faults.late_ms / 1000)
     response = web.Response(body=body, content_type="application/json")
     transport = request.transport
     if transport is None or not (faults.cut or faults.close or faults.twice):
         return response
-    echo = "".join(f"{name}: {value}\r\n" for name, value in echo_of(request).items())
+    echo = "".join(
+        f"{name}: {value}\r\n" for name, value in copy_request_headers(request).items()
+    )
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n{echo}\r\n"
     if faults.twice:
         transport.write(head.encode() + body)
@@ -200,13 +209,13 @@
     return response
 
 
-def echo_of(request: web.Request) -> dict[str, str]:
-    """Return the headers that name the request, to be repeated."""
+def copy_request_headers(request: web.Request) -> dict[str, str]:
+    """Return the request's headers that identify the task, for the response."""
     names = ("Cactuswalk-Submission", "Cactuswalk-Task", "Cactuswalk-Attempt")
     return {name: request.headers[name] for name in names if name in request.headers}
 
 
-async def steer_task(upstream: StandInUpstream, request: web.Request):
+async def control_task(upstream: StandInUpstream, request: web.Request):
     """Stop, throttle or checkpoint a running task."""
     submission = request.match_info["submission"]
     index = int(request.match_info["index"])
@@ -219,11 +228,11 @@
     elif action == "throttle":
         task.factor = max(1.0, float((await request.json()).get("factor", 2.0)))
     else:
-        # What is saved is no longer in memory; here it goes on from its copy at once.
+        # A checkpoint frees the task's memory; the task then continues from the copy.
         task.memory_mb = 0
-    upstream.note(action, submission, index, factor=task.factor)
+    upstream.add_record(action, submission, index, factor=task.factor)
     task.changed.set()
-    # Let the task wake and reckon what is left of it.
+    # Lets the task wake up and update its remaining time.
     await asyncio.sleep(0.005)
     return web.json_response({"left_ms": round(task.left * 1000)})
 
@@ -242,14 +251,14 @@
 
 
 async def show_record(upstream: StandInUpstream, request: web.Request):
-    """Return all starts and ends, and which tasks have started twice here."""
+    """Return all records, and the tasks that have started here more than once."""
     return web.json_response(
         {
             "worker": upstream.options.name,
-            "most_running": upstream.most_running,
+            "most_running": upstream.max_running,
             "running": len(upstream.running),
             "connections": len(upstream.peers),
-            "double_starts": upstream.double_starts(),
+            "double_starts": upstream.find_double_starts(),
             "records": upstream.records,
         }
     )
@@ -258,28 +267,28 @@
 def make_application(upstream: StandInUpstream) -> web.Application:
     """Return the HTTP application of a stand-in."""
 
-    def bind(handler):
+    def bind_handler(handler):
         async def handle(request: web.Request):
             response = await handler(upstream, request)
             if upstream.options.echoes:
-                response.headers.update(echo_of(request))
+                response.headers.update(copy_request_headers(request))
             return response
 
         return handle
 
     application = web.Application(client_max_size=64 << 20)
-    application.router.add_post("/tasks", bind(run_task))
+    application.router.add_post("/tasks", bind_handler(run_task))
     application.router.add_post(
         r"/tasks/{submission}/{index:\d+}/{action:stop|throttle|checkpoint}",
-        bind(steer_task),
+        bind_handler(control_task),
     )
-    application.router.add_post("/standin/faults", bind(set_faults))
-    application.router.add_get("/standin/record", bind(show_record))
+    application.router.add_post("/standin/faults", bind_handler(set_faults))
+    application.router.add_get("/standin/record", bind_handler(show_record))
     return application
 
 
 async def announce(upstream: StandInUpstream, port: int) -> None:
-    """Announce the upstream to its agent, again every half second."""
+    """Announce the upstream to its agent every ANNOUNCE_INTERVAL_SECONDS."""
     options = upstream.options
     announcement = {
         "service": options.service,
@@ -299,13 +308,13 @@
                 address = f"{options.agent}/announce"
                 async with session.post(address, json=announcement) as response:
                     await response.read()
-            await asyncio.sleep(ANNOUNCE_EVERY_SECONDS)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
 
 async def report_usage(upstream: StandInUpstream) -> None:
-    """Tell the agent once a second what the running tasks use."""
+    """Report the memory of the running tasks to the agent at the same interval."""
     options = upstream.options
-    timeout = aiohttp.ClientTimeout(total=ANNOUNCE_EVERY_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=ANNOUNCE_INTERVAL_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         while True:
             await upstream.unfrozen.wait()
@@ -324,11 +333,11 @@
                 address = f"{options.agent}/usage"
                 async with session.post(address, json={"tasks": tasks}) as response:
                     await response.read()
-            await asyncio.sleep(ANNOUNCE_EVERY_SECONDS)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
 
 async def withdraw(options: Options) -> None:
-    """Tell the agent that this upstream leaves."""
+    """Withdraw the upstream's announcement from the agent."""
     timeout = aiohttp.ClientTimeout(total=ANNOUNCE_TIMEOUT_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
@@ -336,24 +345,24 @@
                 await response.read()
 
 
-async def finish(upstream: StandInUpstream) -> None:
-    """Return once nothing has run for a while."""
-    quiet_since = time.monotonic()
-    while time.monotonic() - quiet_since < QUIET_BEFORE_EXIT_SECONDS:
+async def wait_until_idle(upstream: StandInUpstream) -> None:
+    """Return once no task has run for IDLE_BEFORE_EXIT_SECONDS."""
+    idle_since = time.monotonic()
+    while time.monotonic() - idle_since < IDLE_BEFORE_EXIT_SECONDS:
         await asyncio.sleep(0.02)
         if upstream.running:
-            quiet_since = time.monotonic()
+            idle_since = time.monotonic()
 
 
 def write_port(path: str, port: int) -> None:
-    """Write the port in one step, so that a reader never sees half of it."""
+    """Write the port atomically, so that a reader never sees a partial number."""
     partial = f"{path}.partial"
     Path(partial).write_text(f"{port}\n", encoding="utf-8")
     os.replace(partial, path)
 
 
 async def serve(options: Options, host: str, port: int, port_file: str) -> None:
-    """Serve until SIGTERM; then withdraw, finish what runs, and return."""
+    """Serve until SIGTERM, then withdraw, let running tasks finish and return."""
     upstream = StandInUpstream(options)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -362,26 +371,26 @@
     runner = web.AppRunner(make_application(upstream), access_log=None)
     await runner.setup()
     await web.TCPSite(runner, host, port).start()
-    bound = runner.addresses[0][1]
+    bound_port = runner.addresses[0][1]
     if port_file:
-        write_port(port_file, bound)
-    speaking = []
+        write_port(port_file, bound_port)
+    agent_tasks = []
     if options.agent:
-        speaking.append(asyncio.create_task(announce(upstream, bound)))
-        speaking.append(asyncio.create_task(report_usage(upstream)))
+        agent_tasks.append(asyncio.create_task(announce(upstream, bound_port)))
+        agent_tasks.append(asyncio.create_task(report_usage(upstream)))
     await stopping.wait()
-    for task in speaking:
+    for task in agent_tasks:
         task.cancel()
-    if speaking:
+    if agent_tasks:
         await withdraw(options)
-    await finish(upstream)
+    await wait_until_idle(upstream)
     await runner.cleanup()
 
 
 @click.command()
 @click.option("--host", default="127.0.0.1", show_default=True)
-@click.option("--port", default=0, help="0 lets the system choose.")
-@click.option("--port-file", default="", help="Write the chosen port here.")
+@click.option("--port", default=0, help="0 for any free port.")
+@click.option("--port-file", default="", help="File that gets the port.")
 @click.option("--agent", default="", help="URL of the agent to announce to.")
 @click.option("--name", required=True)
 @click.option("--service", required=True)
@@ -389,12 +398,12 @@
 @click.option("--connections", default=64, show_default=True)
 @click.option("--memory-mb", default=0)
 @click.option("--accelerators", default=0)
-@click.option("--label", "labels", multiple=True, help="KEY=VALUE, repeated.")
-@click.option("--echoes/--no-echoes", default=True, help="Name the request.")
+@click.option("--label", "labels", multiple=True, help="KEY=VALUE; repeatable.")
+@click.option("--echoes/--no-echoes", default=True, help="Repeat the task's headers.")
 @click.option("--saves/--no-saves", default=False, help="Can checkpoint its tasks.")
-@click.option("--record", default="", help="Append starts and ends to this file.")
+@click.option("--record", default="", help="File that gets the records.")
 def main(host, port, port_file, labels, **fields):
-    """Run a stand-in for an upstream."""
+    """Run a stand-in of an upstream."""
     pairs = dict(label.split("=", 1) for label in labels)
     asyncio.run(serve(Options(labels=pairs, **fields), host, port, port_file))
 
