--- a/features/dispatch_explaining.feature
+++ b/features/dispatch_explaining.feature
@@ -2,9 +2,9 @@
 
   Scenario: The history of a job from the logs of several processes
     Given a deployment of 2 entries and 2 workers
-    When a job of 12 tasks of 1500 ms is under way at entry 0
-    And agent-0 is killed and started again
-    Then the job under way is answered with 200 and the state completed
+    When a job of 12 tasks of 1500 ms is in progress at entry 0
+    And agent-0 is killed and restarted
+    Then the job in progress is answered with 200 and the state completed
     And cactuswalk trace prints the lost runs and the answer in order
     And cactuswalk trace finds no line of an unknown job
 
--- a/features/process_cells.feature
+++ b/features/process_cells.feature
@@ -1,10 +1,9 @@
 Feature: Real processes serve one service from two cells
 
   Scenario: Two cells share a service under load, and one loses its owner
-    A second cell has been put beside the first. While callers book, one cell cedes
-    slots to the other, and then an owner dies. Callers whose connections break send
-    their keys through the other entry. A caller would notice a pen booked twice, or
-    an answer that never comes.
+    Two cells share the slots of a service, and one owner is killed under load.
+    Callers whose connection breaks send the request again with the same key through
+    the other entry. Guards against duplicate starts and lost responses.
     Given two cells of three workers each under load from two entries
     When the fault kills the owner's agent
     And the load gets 40 more answers
@@ -12,6 +11,6 @@
     And the load gets 150 more answers
     Then each entry serves a new request after the faults
     And status shows that both cells hold a share of the service
-    And every caller of the load got one true and whole answer
-    And no task of the load started twice by the upstreams' records
+    And every caller of the load got one correct and complete answer
+    And by the upstreams' records no task of the load started twice
     And workers of both cells have run tasks of the load
--- a/features/process_dispatch.feature
+++ b/features/process_dispatch.feature
@@ -1,86 +1,87 @@
-Feature: The real entries and agents, against stand-ins of the platform
+Feature: Real entries and agents against stand-ins of the platform
 
-  Scenario: A job goes through from one end to the other
+  Scenario: A job runs from submission to answer
     Given a deployment of 2 entries and 3 workers
-    When a job of 6 tasks of 150 ms is handed to entry 0
+    When a job of 6 tasks of 150 ms is submitted to entry 0
     Then it is answered with 200 and the state completed
-    And the workers' records show 6 runs, none twice at once
+    And the workers' records show 6 runs, none of them overlapping
     And entry 1 counts 0 queued jobs, and has no queue elsewhere
-    And a queue's jobs of before are not known
-    And the metrics of entry 0 tell of the job
+    And earlier jobs of the queue are not known
+    And the metrics of entry 0 count the job
 
-  Scenario: Nothing on a job's path waits for the store
-    The store goes silent, is busy, resets connections and is slow by turns; jobs
-    are served all the while, and a change that comes afterwards is in force.
+  Scenario: Jobs are served while the store fails
+    Guards against a call to the store on a job's path: jobs are served while the store
+    is silent, busy or resets connections, and a later change still takes effect.
     Given a deployment of 2 entries and 2 workers
-    When the store is silent and a job is handed in
+    When the store is silent and a job is submitted
     Then it is answered with 200 and the state completed
-    When the store is busy and a job is handed in
+    When the store is busy and a job is submitted
     Then it is answered with 200 and the state completed
-    When the store is reset and a job is handed in
+    When the store is reset and a job is submitted
     Then it is answered with 200 and the state completed
-    When the store is well again and drops its history
-    And the queue moves to another path
+    When the store recovers and compacts its history
+    And the queue is moved to another path
     Then the new path is served within 4 seconds and the old one gives 404
 
-  Scenario: An entry that starts while the store is away learns from another
-    Entry 1 is started anew in an outage. It has no configuration, and callers are
-    turned away until it has one; entry 0 knows the newest.
+  Scenario: An entry that starts during a store outage is configured by another
+    Entry 1 restarts during the outage without a configuration, and rejects callers
+    until it has one; entry 0 knows the latest.
     Given a deployment of 2 entries and 1 workers
-    When the queue moves to another path
+    When the queue is moved to another path
     Then the new path is served within 4 seconds and the old one gives 404
-    When the store turns everyone away and entry-1 is started anew
+    When the store rejects all calls and entry-1 is restarted
     Then entry 1 serves the new path within 10 seconds
 
-  Scenario: A data centre is evacuated and taken back
-    Worker 1 alone is in that data centre, and the store has dropped its history when
-    the request is withdrawn: no change is seen, only that the key is there no more.
+  Scenario: The evacuation of a data centre begins and ends
+    Only worker 1 is in that data centre. The store compacts its history when the
+    request is withdrawn, so the watch delivers no deletion: the key is only missing
+    from the next list.
     Given a deployment of 2 entries and 2 workers
     When data centre centre-1 of the deployment is evacuated for 1 seconds
-    And a job of 6 tasks of 100 ms is handed to entry 1
+    And a job of 6 tasks of 100 ms is submitted to entry 1
     Then it is answered with 200 and the state completed
     And worker 1 has run nothing
-    When the store drops its history while centre-1 is taken back
-    And a job of 16 tasks of 100 ms is handed to entry 1
+    When the store compacts its history while the evacuation of centre-1 ends
+    And a job of 16 tasks of 100 ms is submitted to entry 1
     Then it is answered with 200 and the state completed
     And worker 1 has run something
 
-  Scenario: A key that was taken away from a living entry comes back
-    The store removes the key under which others find an entry; its lease goes on
-    being renewed, and no call shows it.
+  Scenario: The key of a running entry is removed and written again
+    The store removes the key that registers an entry. Renewals of its lease still
+    succeed, so no call reports the removal.
     Given a deployment of 2 entries and 1 workers
     When the key of entry 0 is revoked
-    Then it is back within 4 seconds
+    Then it is written again within 4 seconds
 
-  Scenario: An entry is killed while it answers for a job
-    Its caller sends the job again 1.3 seconds later, at another entry.
+  Scenario: An entry is killed with a job in progress
+    Its caller submits the job again 1.3 seconds later to another entry.
     Given a deployment of 2 entries and 3 workers
-    When a job of 4 tasks of 2500 ms is under way at entry 0
-    And entry-0 is killed, and the job handed to entry 1 after 1.3 seconds
+    When a job of 4 tasks of 2500 ms is in progress at entry 0
+    And entry-0 is killed, and the job submitted to entry 1 after 1.3 seconds
     Then it is answered with 200 and the state completed
-    And the workers' records show no task twice at once
+    And the workers' records show no overlapping runs of a task
 
   Scenario: An agent is killed with tasks running
     Given a deployment of 2 entries and 2 workers
-    When a job of 6 tasks of 1500 ms is under way at entry 0
-    And agent-0 is killed and started again
-    Then the job under way is answered with 200 and the state completed
-    And the workers' records show no task twice at once
+    When a job of 6 tasks of 1500 ms is in progress at entry 0
+    And agent-0 is killed and restarted
+    Then the job in progress is answered with 200 and the state completed
+    And the workers' records show no overlapping runs of a task
 
-  Scenario: Planned stops cut no request off
+  Scenario: Planned stops drop no request
     Given a deployment of 2 entries and 2 workers
-    When a job of 4 tasks of 1500 ms is under way at entry 0
-    And entry-0 is told to stop
-    Then the job under way is answered with 200 and the state completed
+    When a job of 4 tasks of 1500 ms is in progress at entry 0
+    And entry-0 is asked to stop
+    Then the job in progress is answered with 200 and the state completed
     And entry-0 ends with status 0
-    When a job of 4 tasks of 1500 ms is under way at entry 1
-    And agent-1 is told to stop
-    Then the job under way is answered with 200 and the state completed
+    When a job of 4 tasks of 1500 ms is in progress at entry 1
+    And agent-1 is asked to stop
+    Then the job in progress is answered with 200 and the state completed
     And agent-1 ends with status 0
 
-  Scenario Outline: What can't be done is refused at once, with its code
+  Scenario Outline: An invalid or unservable job is refused at once, with its code
     Given a deployment of 1 entries and 1 workers
-    When a body with <fault> is handed in
+    When a body with <fault> is submitted
     Then it is refused with <status> and the code <code>
     And nothing has run
 
@@ -94,16 +95,17 @@
       | a gang          | 503    | unsupported_job |
       | too large a task | 503   | not_run         |
 
-  Scenario: A job that fails for good is told as failed
+  Scenario: A job that fails permanently is answered as failed
     Given a deployment of 1 entries and 2 workers
-    When a job whose tasks always fail is handed in
+    When a job whose tasks always fail is submitted
     Then it is answered with 200 and the state failed
 
-  Scenario: Jobs that come until the last moment of a planned stop
-    The balancer may send callers to a stopping entry, where too few others are left.
-    While it takes its key out of a store that is silent it still listens: a job that
-    was taken then never ended, and the process had to be killed.
+  Scenario: Jobs that arrive until the end of a planned stop
+    The balancer may still send callers to a stopping entry if too few others are
+    left. The entry listens while it removes its key from the store, which takes long
+    if the store is silent. A job accepted in that time used to get no answer, and the
+    process had to be killed.
     Given a deployment of 2 entries and 2 workers
-    When the store falls silent and jobs come to entry 0 until it has stopped
-    Then each of them was done, refused as not run, or found nobody
-    And it has stopped within its grace of 6 seconds
+    When the store falls silent and jobs arrive at entry 0 until it has stopped
+    Then each of them was done, refused as not run, or could not connect
+    And it has stopped within its grace period of 6 seconds
--- a/features/process_path.feature
+++ b/features/process_path.feature
@@ -1,18 +1,17 @@
-Feature: The whole path as separate processes
+Feature: Requests through all components as separate processes
 
-  Scenario: Both users' work is answered whole and started once
-    Depot dispatchers, school offices, vets and pet owners send at once, through
-    two entries. If a task were started twice, or an answer went to another
-    caller, two pupils would get one wheelchair space; the upstreams' own records
-    tell it whatever the product says of itself.
+  Scenario: The traffic of both users is answered completely and started once
+    Callers of both users send through two entries at once. Duplicate starts and
+    responses to the wrong caller are detected by the upstreams' own records,
+    independently of what cactuswalk reports.
     Given a small deployment of both users' services
     When a few seconds of both users' traffic are sent and it is stopped as planned
     Then every arrival of the small deployment was answered
-    And the upstreams' records prove no fault of it
+    And the upstreams' records show no fault
     And its entries and agents ended with status 0
 
-  Scenario: The demo's judge finds what the records prove wrong
-    A judge that finds nothing is as good as none. A doubled start, a refusal
-    that was no truth and a start that is missing must each be named.
-    When the judge is given a doubled start, a false "not run" and a missing start
-    Then the judge names each of the three
+  Scenario: The demo's check finds the faults in the records
+    Guards against a check that finds nothing: a duplicate start, a false refusal as
+    not run and a missing start must each be reported.
+    When the check is given a duplicate start, a false "not run" and a missing start
+    Then the check reports each of the three
--- a/features/process_stops.feature
+++ b/features/process_stops.feature
@@ -13,7 +13,7 @@
     And the stopped processes are started again
     And the balancer's load gets 30 more answers
     Then each planned stop ended with status 0
-    And the balancer's load was answered whole, nothing cut off or refused
+    And the balancer's load was answered completely, nothing cut off or refused
 
     Examples:
       | who               |
--- a/features/steps/dispatch_explaining_steps.py
+++ b/features/steps/dispatch_explaining_steps.py
@@ -12,7 +12,7 @@
 from cactuswalk.runtime.logs import open_logs
 from cactuswalk.settings import LogSettings
 from cactuswalk.state.effects import Part
-from features.steps.process_dispatch_steps import SAME_JOB
+from features.steps.process_dispatch_steps import JOB_IDENTIFIER
 
 LINE = "x" * 200
 
@@ -27,7 +27,7 @@
 @then("cactuswalk trace prints the lost runs and the answer in order")
 def step_trace(context):
     time.sleep(0.3)
-    result = run_trace(context, SAME_JOB)
+    result = run_trace(context, JOB_IDENTIFIER)
     assert result.exit_code == 0, result.output
     lines = result.output.splitlines()
     assert "entry: a job is answered" in lines[-1], result.output
--- a/features/steps/process_cells_steps.py
+++ b/features/steps/process_cells_steps.py
@@ -11,11 +11,11 @@
 from tools.workloads import LABUTA
 
 CELLS = ("north", "south")
-WORKERS_A_CELL = 3
+WORKERS_PER_CELL = 3
 
 
-def shares_of(cluster: Cluster) -> dict[str, int]:
-    """Return how many slots each cell holds, as the first entry shows it."""
+def read_shares(cluster: Cluster) -> dict[str, int]:
+    """Return the slots that each cell holds, by the first entry's status."""
     _, body = cluster.request(
         "GET",
         f"{cluster.operator_url(0)}/operator/status",
@@ -28,7 +28,7 @@
 
 def wait_shared(cluster: Cluster) -> None:
     def shared() -> bool:
-        shares = shares_of(cluster)
+        shares = read_shares(cluster)
         return len(shares) == len(CELLS) and all(shares.values())
 
     wait_until(shared, MAX_WAIT_S, "a share for each cell")
@@ -39,7 +39,7 @@
     workers = [
         Worker(f"{cell}-{number}", LABUTA[0], slots=4, cell=cell)
         for cell in CELLS
-        for number in range(WORKERS_A_CELL)
+        for number in range(WORKERS_PER_CELL)
     ]
     context.cluster = Cluster(2, workers)
     add_clean_up(context, context.cluster.close)
--- a/features/steps/process_dispatch_steps.py
+++ b/features/steps/process_dispatch_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the real processes."""
+"""Steps for real entries, agents and workers' stand-ins."""
 
 import time
 
@@ -13,7 +13,7 @@
 )
 from tools.processes import wait_until
 
-SAME_JOB = "00000000000000bb"
+JOB_IDENTIFIER = "00000000000000bb"
 
 
 @given("a deployment of {entries:d} entries and {workers:d} workers")
@@ -24,17 +24,19 @@
     context.deployment.wait_ready()
 
 
-@when("a job of {tasks:d} tasks of {ms:d} ms is handed to entry {entry:d}")
+@when("a job of {tasks:d} tasks of {ms:d} ms is submitted to entry {entry:d}")
 def step_job(context, tasks, ms, entry):
     context.result = context.deployment.submit(entry, tasks, ms)
 
 
-@when("a job of {tasks:d} tasks of {ms:d} ms is under way at entry {entry:d}")
-def step_job_under_way(context, tasks, ms, entry):
+@when("a job of {tasks:d} tasks of {ms:d} ms is in progress at entry {entry:d}")
+def step_job_in_progress(context, tasks, ms, entry):
     deployment = context.deployment
     context.tasks, context.ms = tasks, ms
     before = len(deployment.list_started_tasks())
-    context.pending = deployment.submit_later(entry, tasks, ms, identifier=SAME_JOB)
+    context.pending = deployment.submit_later(
+        entry, tasks, ms, identifier=JOB_IDENTIFIER
+    )
     wait_until(
         lambda: len(deployment.list_started_tasks()) - before >= tasks,
         5.0,
@@ -42,35 +44,37 @@
     )
 
 
-@when("{name:S} is killed, and the job handed to entry {entry:d} after {s:g} seconds")
+@when(
+    "{name:S} is killed, and the job submitted to entry {entry:d} after {s:g} seconds"
+)
 def step_kill_and_resend(context, name, entry, s):
     context.deployment[name].kill()
     time.sleep(s)
     context.result = context.deployment.submit(
-        entry, context.tasks, context.ms, identifier=SAME_JOB
+        entry, context.tasks, context.ms, identifier=JOB_IDENTIFIER
     )
 
 
-@when("{name:S} is killed and started again")
-def step_kill_and_start(context, name):
+@when("{name:S} is killed and restarted")
+def step_kill_and_restart(context, name):
     context.deployment[name].kill()
     context.deployment[name].start()
 
 
-@when("{name:S} is told to stop")
+@when("{name:S} is asked to stop")
 def step_terminate(context, name):
     context.deployment[name].terminate()
 
 
-@when("the store is {mode:w} and a job is handed in")
+@when("the store is {mode:w} and a job is submitted")
 def step_store_fault(context, mode):
     context.deployment.set_store_fault(mode)
     time.sleep(0.3)
     context.result = context.deployment.submit(0, 2, 100)
 
 
-@when("the store is well again and drops its history")
-def step_store_well(context):
+@when("the store recovers and compacts its history")
+def step_store_recovers(context):
     context.deployment.set_store_fault("")
     call_json(f"{context.deployment.store_url}/compact", {})
 
@@ -81,8 +85,8 @@
     time.sleep(seconds)
 
 
-@when("the store drops its history while {centre:S} is taken back")
-def step_take_back(context, centre):
+@when("the store compacts its history while the evacuation of {centre:S} ends")
+def step_end_evacuation(context, centre):
     deployment = context.deployment
     deployment.set_store_fault("reset")
     deployment.end_evacuation(centre)
@@ -101,14 +105,14 @@
     assert context.deployment.list_started_tasks(number)
 
 
-@when("the store turns everyone away and {name:S} is started anew")
+@when("the store rejects all calls and {name:S} is restarted")
 def step_start_in_outage(context, name):
     context.deployment[name].kill()
     context.deployment.set_store_fault("busy")
     context.deployment[name].start()
 
 
-@when("the queue moves to another path")
+@when("the queue is moved to another path")
 def step_queue_moves(context):
     body = make_configuration(5, path_prefix="/moved/")
     context.deployment.write_configuration(body)
@@ -118,16 +122,16 @@
 def step_revoke(context):
     key = "cactuswalk/entries/entry-0"
     store = context.deployment.store_url
-    wait_until(lambda: key in keys_of(store), 5.0, "the entry's key")
-    context.key, context.created = key, keys_of(store)[key]
+    wait_until(lambda: key in read_keys(store), 5.0, "the entry's key")
+    context.key, context.created_at = key, read_keys(store)[key]
     call_json(f"{store}/revoke", {"key": key})
 
 
-def keys_of(store):
+def read_keys(store):
     return call_json(f"{store}/keys")[1]["keys"]
 
 
-@when("a body with {fault} is handed in")
+@when("a body with {fault} is submitted")
 def step_bad_body(context, fault):
     body = make_job_body(2, 100)
     if fault == "no steps":
@@ -142,14 +146,14 @@
         body["steps"][0]["gang"] = True
     elif fault == "too large a task":
         body["steps"][0]["cpu"] = 1_000_000
-    url = context.deployment.caller_url(0) + SAME_JOB
+    url = context.deployment.caller_url(0) + JOB_IDENTIFIER
     if fault == "no JSON":
         body = "no object"
     context.sent_at = time.monotonic()
     context.result = call_json(url, body, host=HOST)
 
 
-@when("a job whose tasks always fail is handed in")
+@when("a job whose tasks always fail is submitted")
 def step_failing(context):
     context.result = context.deployment.submit(0, 2, 50, fails=True)
 
@@ -160,21 +164,21 @@
     assert context.result[1] == {"state": state}, context.result
 
 
-@then("the job under way is answered with {status:d} and the state {state:w}")
+@then("the job in progress is answered with {status:d} and the state {state:w}")
 def step_pending_answered(context, status, state):
     context.pending.join(20)
-    assert context.pending.result is not None, "the connection was cut off"
+    assert context.pending.result is not None, "the connection broke"
     context.result = context.pending.result
     step_answered(context, status, state)
 
 
-@then("the workers' records show {count:d} runs, none twice at once")
+@then("the workers' records show {count:d} runs, none of them overlapping")
 def step_runs(context, count):
     assert len(context.deployment.list_started_tasks()) == count
     assert not context.deployment.find_overlaps()
 
 
-@then("the workers' records show no task twice at once")
+@then("the workers' records show no overlapping runs of a task")
 def step_no_overlap(context):
     assert len(context.deployment.list_started_tasks()) > 0
     assert not context.deployment.find_overlaps()
@@ -187,14 +191,14 @@
     assert call_json(url, host="other.example")[0] == 404
 
 
-@then("a queue's jobs of before are not known")
+@then("earlier jobs of the queue are not known")
 def step_unknown(context):
-    url = context.deployment.caller_url(1) + SAME_JOB
+    url = context.deployment.caller_url(1) + JOB_IDENTIFIER
     assert call_json(url, host=HOST)[0] == 410
     assert call_json(url, host=HOST, method="DELETE")[0] == 410
 
 
-@then("the metrics of entry 0 tell of the job")
+@then("the metrics of entry 0 count the job")
 def step_metrics(context):
     deployment = context.deployment
     text = deployment.metrics(deployment.entry_host(0))
@@ -217,22 +221,22 @@
     deployment = context.deployment
     url = f"http://{deployment.entry_host(1)}:{deployment.ports['callers']}"
 
-    def serves():
+    def is_served():
         try:
             return call_json(f"{url}/moved/", host=HOST)[0] == 200
         except OSError:
             return False
 
-    wait_until(serves, seconds, "the configuration from another entry")
+    wait_until(is_served, seconds, "the configuration from another entry")
 
 
-@then("it is back within {seconds:g} seconds")
-def step_key_back(context, seconds):
+@then("it is written again within {seconds:g} seconds")
+def step_key_written(context, seconds):
     store = context.deployment.store_url
     wait_until(
-        lambda: keys_of(store).get(context.key, 0) > context.created,
+        lambda: read_keys(store).get(context.key, 0) > context.created_at,
         seconds,
-        "the entry's key, created anew",
+        "the entry's new key",
     )
 
 
@@ -245,7 +249,7 @@
 def step_refused(context, status, code):
     assert context.result[0] == status, context.result
     assert context.result[1]["code"] == code, context.result
-    assert time.monotonic() - context.sent_at < 1.0, "the refusal was held back"
+    assert time.monotonic() - context.sent_at < 1.0, "the refusal was delayed"
     if status == 503:
         assert int(context.result[2]["Retry-After"]) >= 1
 
@@ -255,32 +259,32 @@
     assert len(context.deployment.list_started_tasks()) == 0
 
 
-@when("the store falls silent and jobs come to entry {entry:d} until it has stopped")
+@when("the store falls silent and jobs arrive at entry {entry:d} until it has stopped")
 def step_until_stopped(context, entry):
     deployment = context.deployment
     process = deployment[f"entry-{entry}"]
     deployment.set_store_fault("silent")
     process.terminate()
-    began = time.monotonic()
+    started_at = time.monotonic()
     context.statuses = []
     while process.alive:
         sent_at = time.monotonic()
         pending = deployment.submit_later(entry, 1, 300)
         pending.join()
-        found_nobody = pending.result is None and time.monotonic() - sent_at < 0.1
-        if not found_nobody:
+        could_not_connect = pending.result is None and time.monotonic() - sent_at < 0.1
+        if not could_not_connect:
             context.statuses.append(pending.result[0] if pending.result else 0)
-        # So that the process is met at different moments of its looks.
+        # Jobs then arrive at different moments between two checks of the process.
         time.sleep(0.11)
-    context.stopped_after = time.monotonic() - began
+    context.stopped_after = time.monotonic() - started_at
 
 
-@then("each of them was done, refused as not run, or found nobody")
+@then("each of them was done, refused as not run, or could not connect")
 def step_none_dropped(context):
     assert len(context.statuses) >= 6, context.statuses
     assert set(context.statuses) <= {200, 503}, context.statuses
 
 
-@then("it has stopped within its grace of {seconds:g} seconds")
+@then("it has stopped within its grace period of {seconds:g} seconds")
 def step_in_grace(context, seconds):
     assert context.stopped_after < seconds, context.stopped_after
--- a/features/steps/process_faults_keys_steps.py
+++ b/features/steps/process_faults_keys_steps.py
@@ -27,8 +27,8 @@
 STRANGER = "w4"
 
 
-class Counter:
-    """A statsd server on the loopback that adds up strangers."""
+class StrangerCounter:
+    """A statsd server on the loopback that counts refused connections."""
 
     def __init__(self):
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -36,9 +36,9 @@
         self.port = self.socket.getsockname()[1]
         self.refused_strangers = 0
         self.broken_handshakes = 0
-        threading.Thread(target=self.listen, daemon=True).start()
+        threading.Thread(target=self.receive, daemon=True).start()
 
-    def listen(self):
+    def receive(self):
         while packet := self.socket.recv(65_536):
             self.refused_strangers += sum(map(int, REFUSED_STRANGERS.findall(packet)))
             self.broken_handshakes += sum(map(int, BROKEN_HANDSHAKES.findall(packet)))
@@ -47,12 +47,12 @@
         self.socket.sendto(b"", ("127.0.0.1", self.port))
 
 
-def pair():
+def make_key_pair():
     return [key.decode() for key in zmq.curve_keypair()]
 
 
-def edit(cluster, name, **sections):
-    """Replace options in a process's settings."""
+def edit_settings(cluster, name, **sections):
+    """Replace options in a process's settings file."""
     path = cluster.directory / f"{name}.ini"
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str
@@ -66,7 +66,7 @@
         parser.write(file)
 
 
-def members_of(cluster):
+def list_members(cluster):
     return [name for name in cluster.processes if name.startswith(("agent", "entry"))]
 
 
@@ -75,17 +75,17 @@
     cluster = context.cluster
     curve = {"public_key": keys[0], "secret_key": keys[1]}
     curve["allowed_keys"] = " ".join(allowed)
-    for name in members_of(cluster):
-        edit(cluster, name, curve=curve)
+    for name in list_members(cluster):
+        edit_settings(cluster, name, curve=curve)
     for name in cluster.entry_names:
         others = [cluster.addresses[one] for one in cluster.entry_names if one != name]
         keyed = [address_with_key(address, keys[0]) for address in others]
-        edit(cluster, name, peers={"addresses": " ".join(keyed)})
+        edit_settings(cluster, name, peers={"addresses": " ".join(keyed)})
 
 
 @given("a deployment of three workers with one key pair")
 def step_deployment(context):
-    context.counter = Counter()
+    context.counter = StrangerCounter()
     add_clean_up(context, context.counter.close)
     context.cluster = small_cluster(4)
     add_clean_up(context, context.cluster.close)
@@ -94,19 +94,19 @@
         for name in (f"agent-{STRANGER}", f"upstream-{STRANGER}")
     }
     context.cluster.workers.pop(STRANGER)
-    context.keys = pair()
-    for name in members_of(context.cluster):
+    context.keys = make_key_pair()
+    for name in list_members(context.cluster):
         statsd = {"host": "127.0.0.1", "port": context.counter.port}
-        edit(context.cluster, name, statsd=statsd)
+        edit_settings(context.cluster, name, statsd=statsd)
     set_keys(context, context.keys, [context.keys[0]])
 
 
 @given("a stranger's agent without a key beside them")
 def step_no_key(context):
-    """Its settings have no section for keys as it is.
+    """Its settings have no section for keys by default.
 
-    Either end may see first that the two don't match. If the stranger does, it
-    closes and never comes again, and the other end has a broken handshake.
+    Either end may be first to detect the mismatch. If the stranger is, it closes
+    the connection for good, and the other end counts a broken handshake.
     """
     context.count_strangers = lambda: (
         context.counter.refused_strangers + context.counter.broken_handshakes
@@ -116,10 +116,10 @@
 @given("a stranger's agent with a key that is not known beside them")
 def step_other_key(context):
     context.count_strangers = lambda: context.counter.refused_strangers
-    public, secret = pair()
+    public, secret = make_key_pair()
     allowed = f"{public} {context.keys[0]}"
     curve = {"public_key": public, "secret_key": secret, "allowed_keys": allowed}
-    edit(context.cluster, f"agent-{STRANGER}", curve=curve)
+    edit_settings(context.cluster, f"agent-{STRANGER}", curve=curve)
 
 
 @when("the deployment with keys starts")
@@ -136,27 +136,27 @@
 
 @then("what a process of the deployment with keys says can't be read on the way")
 def step_encrypted(context):
-    """Stand in for the network: pass on what an agent is sent, and read it."""
+    """Send a frame to an agent through a proxy that records the bytes."""
     secret = "confidential-mark"
     address = context.cluster.addresses["agent-w1"].removeprefix("tcp://")
     host, port = address.split(":")
     listener = socket.create_server(("127.0.0.1", 0))
-    seen = bytearray()
+    received = bytearray()
 
-    def pass_on():
-        inside, _ = listener.accept()
-        outside = socket.create_connection((host, int(port)))
+    def forward():
+        client, _ = listener.accept()
+        server = socket.create_connection((host, int(port)))
 
-        def copy(source, target, note):
+        def copy(source, target, is_recorded):
             while data := source.recv(65_536):
-                if note:
-                    seen.extend(data)
+                if is_recorded:
+                    received.extend(data)
                 target.sendall(data)
 
-        threading.Thread(target=copy, args=(outside, inside, 0), daemon=True).start()
-        copy(inside, outside, 1)
+        threading.Thread(target=copy, args=(server, client, 0), daemon=True).start()
+        copy(client, server, 1)
 
-    threading.Thread(target=pass_on, daemon=True).start()
+    threading.Thread(target=forward, daemon=True).start()
     with zmq.Context() as sending, sending.socket(zmq.PUSH) as push:
         push.curve_publickey, push.curve_secretkey = map(str.encode, context.keys)
         push.curve_serverkey = context.keys[0].encode()
@@ -168,9 +168,9 @@
         frame = encode(Envelope("tcp://127.0.0.1:9", [Join("other", member, None)]))
         assert secret.encode() in frame
         push.send(frame)
-        wait_until(lambda: len(seen) > len(frame), MAX_WAIT_S, "the frame")
-        wait_until(lambda: b"CURVE" in seen, MAX_WAIT_S, "the greeting")
-    assert secret.encode() not in seen
+        wait_until(lambda: len(received) > len(frame), MAX_WAIT_S, "the frame")
+        wait_until(lambda: b"CURVE" in received, MAX_WAIT_S, "the greeting")
+    assert secret.encode() not in received
 
 
 @when("the stranger's agent runs until it has been counted")
@@ -190,9 +190,9 @@
         assert send_request(context.cluster).outcome == "answered"
     assert not context.cluster.is_ready(f"agent-{STRANGER}")
     assert all(process.alive for process in context.strangers.values())
-    for name in members_of(context.cluster):
+    for name in list_members(context.cluster):
         log = context.cluster[name].log.read_text(encoding="utf-8")
-        assert f'"{STRANGER}"' not in log, f"{name} has heard of the stranger"
+        assert f'"{STRANGER}"' not in log, f"{name} knows the stranger"
     record = context.cluster.directory / f"upstream-{STRANGER}.records"
     assert not record.exists() or not record.read_text(encoding="utf-8")
 
@@ -202,8 +202,8 @@
     load = context.load = Load(context.cluster, balanced=True)
     load.start()
     load.wait_answered(15)
-    old, new = context.keys, pair()
-    names = members_of(context.cluster)
+    old, new = context.keys, make_key_pair()
+    names = list_members(context.cluster)
     for keys, allowed in (
         (old, [old[0], new[0]]),
         (new, [old[0], new[0]]),
@@ -216,7 +216,7 @@
     context.new_keys = new
 
 
-@then("the load during the rotation was answered whole, nothing cut off or refused")
+@then("the rotation's load was answered completely, nothing cut off or refused")
 def step_uncut_rotation(context):
     sent = context.load.finish()
     found, refused = find_faults(sent, context.cluster), refusals_of(sent)
@@ -229,7 +229,7 @@
 
 @then("the old key of the deployment is refused by each process")
 def step_old_refused(context):
-    for name in members_of(context.cluster):
+    for name in list_members(context.cluster):
         before = context.counter.refused_strangers
         with zmq.Context() as trying, trying.socket(zmq.PUSH) as push:
             push.curve_publickey, push.curve_secretkey = map(str.encode, context.keys)
--- a/features/steps/process_faults_operators_steps.py
+++ b/features/steps/process_faults_operators_steps.py
@@ -32,20 +32,20 @@
 
 
 def run_command(cluster, entry, *arguments, given=""):
-    """Run the command and return its status and what it printed as JSON."""
+    """Run the command; return its exit status, its output as JSON, and stderr."""
     process = start_command(cluster, entry, *arguments)
     out, error = process.communicate(given, timeout=MAX_WAIT_S)
     return process.returncode, json.loads(out) if out.strip() else {}, error
 
 
-def shown(cluster, entry, worker):
+def get_worker(cluster, entry, worker):
     status, found, error = run_command(cluster, entry, "get", "worker", worker)
     assert status in (0, 3), error
     return found[0]["object"] if status == 0 else {}
 
 
 def submit(cluster, entry, selector=""):
-    """Send a request; return its status and decoded answer."""
+    """Send a request; return the status and the decoded body of its response."""
     headers = {"Authorization": f"Bearer {token_of('labuta')}"}
     if selector:
         headers["Cactuswalk-Selector"] = selector
@@ -55,8 +55,8 @@
     return status, json.loads(answer)
 
 
-def land(cluster, entry, count, selector=""):
-    """Return the workers on which so many requests, sent at once, have landed."""
+def collect_workers(cluster, entry, count, selector=""):
+    """Send ``count`` requests at once and return the worker that ran each of them."""
     with ThreadPoolExecutor(count) as pool:
         replies = list(
             pool.map(lambda _: submit(cluster, entry, selector), range(count))
@@ -73,7 +73,7 @@
     context.cluster.wait_ready()
     wait_served(context.cluster)
     wait_until(
-        lambda: set(land(context.cluster, 1, 12)) == {"w1", "w2", "w3"},
+        lambda: set(collect_workers(context.cluster, 1, 12)) == {"w1", "w2", "w3"},
         MAX_WAIT_S,
         "work on each worker",
     )
@@ -81,14 +81,14 @@
 
 @when('an operator runs "{words}" through entry {entry:d}')
 def step_run(context, words, entry):
-    status, said, error = run_command(context.cluster, entry, *words.split())
+    status, output, error = run_command(context.cluster, entry, *words.split())
     assert status == 0, error
-    context.revision = said["results"][0]["revision"]
+    context.revision = output["results"][0]["revision"]
 
 
-@when("an operator drains a worker beside the owner's through entry {entry:d}")
+@when("an operator drains a worker other than the owner's through entry {entry:d}")
 def step_drain_other(context, entry):
-    # An owner's death in an outage leaves its cell without one, by design.
+    # By design, a cell gets no new owner while the key-value service is down.
     owner = find_owner(context.cluster)
     drain(context, entry, min(set(context.cluster.workers) - {owner}))
 
@@ -116,17 +116,18 @@
 @then("entry {entry:d} shows worker {worker} with the label {label}")
 def step_label(context, entry, worker, label):
     key, value = label.split("=")
-    # The wait was for entry 1 and the nodes; entry 2 hears by its own watch.
+    # The command waits for entry 1 and the nodes; entry 2 has its own watch.
     wait_until(
         lambda: (
-            shown(context.cluster, entry, worker).get("labels", {}).get(key) == value
+            get_worker(context.cluster, entry, worker).get("labels", {}).get(key)
+            == value
         ),
         MAX_WAIT_S,
         f"the label at entry {entry}",
     )
 
 
-@then("entry {entry:d} comes to show the drained worker as drained")
+@then("entry {entry:d} eventually shows the drained worker as drained")
 def step_drained_one(context, entry):
     step_drained(context, entry, context.drained)
 
@@ -135,20 +136,20 @@
 def step_drained(context, entry, worker):
     def drained():
         try:
-            return shown(context.cluster, entry, worker).get("drained")
+            return get_worker(context.cluster, entry, worker).get("drained")
         except AssertionError:
-            # An entry that has just been started takes no connections yet.
+            # An entry that has just been started doesn't accept connections yet.
             return False
 
     wait_until(drained, MAX_WAIT_S, f"the drain at entry {entry}")
 
 
-@then("of {count:d} requests through entry {entry:d} none lands on the drained worker")
+@then("of {count:d} requests through entry {entry:d} none runs on the drained worker")
 def step_none_drained(context, count, entry):
     step_none(context, count, entry, context.drained)
 
 
-@then("of {count:d} requests through entry {entry:d} none lands on w2")
+@then("of {count:d} requests through entry {entry:d} none runs on w2")
 def step_none_w2(context, count, entry):
     step_none(context, count, entry, "w2")
 
@@ -157,21 +158,21 @@
     wait_until(
         lambda: submit(context.cluster, entry)[0] == 200, MAX_WAIT_S, "an answer"
     )
-    before = started(context.cluster, worker)
-    landed = land(context.cluster, entry, count)
-    assert worker not in landed, landed
-    assert started(context.cluster, worker) == before
+    before = count_starts(context.cluster, worker)
+    workers = collect_workers(context.cluster, entry, count)
+    assert worker not in workers, workers
+    assert count_starts(context.cluster, worker) == before
 
 
-def started(cluster, worker):
+def count_starts(cluster, worker):
     records = cluster.records()
     return sum(one["event"] == "start" and one["worker"] == worker for one in records)
 
 
-@then('of {count:d} requests for "{selector}" through entry {entry:d} all land on {on}')
+@then('of {count:d} requests for "{selector}" through entry {entry:d} all run on {on}')
 def step_all(context, count, selector, entry, on):
-    landed = land(context.cluster, entry, count, selector)
-    assert set(landed) == {on}, landed
+    workers = collect_workers(context.cluster, entry, count, selector)
+    assert set(workers) == {on}, workers
 
 
 @then('a request for "{selector}" through entry {entry:d} is refused as not run')
@@ -182,14 +183,15 @@
 
 
 @then(
-    "requests through entry {entry:d} come to be refused as not run, and none has run"
+    "requests through entry {entry:d} are eventually refused as not run, "
+    "and none has run"
 )
 def step_refused_outage(context, entry):
     def refused():
         before = len(context.cluster.starts())
         status, answer = submit(context.cluster, entry)
         if status == 200 or answer["outcome"] != "not_run":
-            # Sent to an owner that was not yet known to be dead.
+            # Sent to the old owner before its failure was detected.
             return False
         assert answer["code"] == "no_owner", answer
         assert len(context.cluster.starts()) == before
@@ -198,17 +200,17 @@
     wait_until(refused, MAX_WAIT_S, "a refusal")
 
 
-@then("requests through entry {entry:d} come to be answered")
+@then("requests through entry {entry:d} are eventually answered")
 def step_answered(context, entry):
     wait_until(
         lambda: submit(context.cluster, entry)[0] == 200, MAX_WAIT_S, "an answer"
     )
 
 
-@then("requests through entry {entry:d} come to land on {worker}")
+@then("requests through entry {entry:d} eventually run on {worker}")
 def step_lands(context, entry, worker):
     wait_until(
-        lambda: worker in land(context.cluster, entry, 12),
+        lambda: worker in collect_workers(context.cluster, entry, 12),
         MAX_WAIT_S,
         f"work on {worker}",
     )
@@ -226,9 +228,9 @@
 
 @then("the accepted change of the drained worker is put in force by every agent")
 def step_by_agents(context):
-    """Read it in the agents' own logs, beside what an entry reports."""
+    """Check the agents' logs, independently of what an entry reports."""
 
-    def put(name):
+    def has_logged(name):
         log = context.cluster[f"agent-{name}"].log.read_text(encoding="utf-8")
         return any(
             "put changes in force" in line and f"worker/{context.drained}" in line
@@ -236,19 +238,21 @@
         )
 
     for name in context.cluster.workers:
-        wait_until(lambda name=name: put(name), MAX_WAIT_S, f"the change at {name}")
+        wait_until(
+            lambda name=name: has_logged(name), MAX_WAIT_S, f"the change at {name}"
+        )
 
 
 @then("the accepted change comes into force on every node")
 def step_in_force(context):
-    status, said, error = run_command(
+    status, output, error = run_command(
         context.cluster, 1, "wait", str(context.revision), "--timeout", "50"
     )
     assert status == 0, error
-    assert said["nodes_in_force"] == said["nodes"] > 0, said
+    assert output["nodes_in_force"] == output["nodes"] > 0, output
 
 
-@when("entry 2 and the drained worker's agent are killed and started again")
+@when("entry 2 and the drained worker's agent are killed and restarted")
 def step_restart(context):
     names = ("entry-2", f"agent-{context.drained}")
     for name in names:
@@ -261,7 +265,7 @@
 def step_race(context):
     context.races = []
     end = time.monotonic() + MAX_WAIT_S
-    # Each call takes this long, so that both look before either writes.
+    # Delays each call, so that both commands read before either writes.
     context.cluster.set_keyvalue_faults(slow_ms=300)
     while not any(CONFLICT in (one[0] for one in race) for race in context.races):
         assert time.monotonic() < end, context.races
@@ -280,7 +284,7 @@
     context.cluster.clear_keyvalue_faults()
 
 
-@then("each race had one winner, and the loser was told to look and repeat")
+@then("each race had one winner, and the loser was told the conflict and its remedy")
 def step_winner(context):
     for race in context.races:
         statuses = sorted(one[0] for one in race)
@@ -292,18 +296,18 @@
     assert OPERATOR in loser[2], loser
 
 
-@then("both entries show what the last winner wrote")
+@then("both entries show the label of the last winner")
 def step_last(context):
-    wrote = {}
+    labels = {}
     for number, race in enumerate(context.races):
-        for entry, (status, said, _) in enumerate(race, 1):
+        for entry, (status, output, _) in enumerate(race, 1):
             if status == 0:
-                wrote[said["results"][0]["revision"]] = f"o{entry}-{number}"
-    last = wrote[max(wrote)]
+                labels[output["results"][0]["revision"]] = f"o{entry}-{number}"
+    last = labels[max(labels)]
     for entry in (1, 2):
         wait_until(
             lambda entry=entry: (
-                shown(context.cluster, entry, "w1")["labels"]["by"] == last
+                get_worker(context.cluster, entry, "w1")["labels"]["by"] == last
             ),
             MAX_WAIT_S,
             f"the winner's label at entry {entry}",
--- a/features/steps/process_faults_steps.py
+++ b/features/steps/process_faults_steps.py
@@ -15,16 +15,16 @@
 )
 from tools.processes import wait_until
 
-# The owner's standing is 1 s and a takeover waits for twice that.
-PAST_ITS_STANDING_S = 4.0
+# An owner's standing lasts 1 s, and a takeover waits for twice that.
+BEYOND_STANDING_S = 4.0
 
 
 def add_clean_up(context, clean_up):
     context.clean_ups = [*getattr(context, "clean_ups", []), clean_up]
 
 
-def begin(context, **options):
-    """Start a deployment and its load, and see that it is served."""
+def start_cluster(context, **options):
+    """Start a deployment, and wait until each entry serves requests."""
     context.cluster = small_cluster(**options)
     add_clean_up(context, context.cluster.close)
     context.cluster.__enter__()
@@ -41,8 +41,8 @@
         )
 
 
-def names_of(context, who):
-    """Return the processes that a scenario speaks of."""
+def list_processes(context, who):
+    """Return the names of the processes that a scenario's words stand for."""
     cluster = context.cluster
     owner = find_owner(cluster)
     other = next(name for name in cluster.workers if name != owner)
@@ -70,45 +70,45 @@
 
 @given("a cell of five workers under load from two entries")
 def step_cell(context):
-    begin(context)
+    start_cluster(context)
     context.load = Load(context.cluster)
     context.load.start()
     context.load.wait_answered(15)
 
 
-@given("a cell of five workers under load from two entries, behind a network")
+@given("a cell of five workers under load from two entries, behind network proxies")
 def step_cell_network(context):
-    begin(context, network=True)
+    start_cluster(context, network=True)
     context.load = Load(context.cluster)
     context.load.start()
     context.load.wait_answered(15)
 
 
-@when("all that is sent to {who} is {conduct} for longer than a standing")
-def step_links(context, who, conduct):
+@when("messages to {who} are {fault} for longer than an owner's standing")
+def step_links(context, who, fault):
     faults = {
         "lost": {"broken": True},
-        "held back": {"stalled": True},
+        "stalled": {"stalled": True},
         "late": {"late_ms": 300},
-    }[conduct]
-    context.cluster.set_link_faults(names_of(context, who), **faults)
-    time.sleep(PAST_ITS_STANDING_S)
+    }[fault]
+    context.cluster.set_link_faults(list_processes(context, who), **faults)
+    time.sleep(BEYOND_STANDING_S)
     context.cluster.clear_link_faults()
 
 
 @when("the fault kills {who}")
 def step_kill(context, who):
-    context.victims = names_of(context, who)
-    for name in context.victims:
+    context.killed = list_processes(context, who)
+    for name in context.killed:
         context.cluster[name].kill()
 
 
-@when("the fault freezes {who} for longer than a standing, and lets it go on")
+@when("the fault freezes {who} for longer than an owner's standing")
 def step_freeze(context, who):
-    names = names_of(context, who)
+    names = list_processes(context, who)
     for name in names:
         context.cluster[name].freeze()
-    time.sleep(PAST_ITS_STANDING_S)
+    time.sleep(BEYOND_STANDING_S)
     for name in names:
         context.cluster[name].unfreeze()
 
@@ -120,11 +120,11 @@
 
 @when("the killed processes are started again")
 def step_restart(context):
-    for name in context.victims:
+    for name in context.killed:
         context.cluster.restart(name)
 
 
-@when("the key-value service is {fault} for the faults to come")
+@when("the key-value service is {fault} during the following faults")
 def step_keyvalue(context, fault):
     faults = {
         "down": {"down": True},
@@ -139,8 +139,8 @@
     time.sleep(seconds)
 
 
-@when("the key-value service is right again")
-def step_keyvalue_right(context):
+@when("the key-value service recovers")
+def step_keyvalue_recovers(context):
     context.cluster.clear_keyvalue_faults()
 
 
@@ -163,26 +163,26 @@
     wait_served(context.cluster)
 
 
-@then("every caller of the load got one true and whole answer")
-def step_judge(context):
+@then("every caller of the load got one correct and complete answer")
+def step_check_answers(context):
     sent = context.load.finish()
-    context.lookups = find_idempotent_submissions(sent)
-    found = find_faults(sent, context.cluster, context.lookups)
+    context.idempotent = find_idempotent_submissions(sent)
+    found = find_faults(sent, context.cluster, context.idempotent)
     outcomes = {}
     for one in sent:
-        what = one.code or one.outcome
-        outcomes[what] = outcomes.get(what, 0) + 1
+        result = one.code or one.outcome
+        outcomes[result] = outcomes.get(result, 0) + 1
     print(f"{len(sent)} answers: {outcomes}, {context.load.disconnects} sent again")
     assert not found, found[:10]
     assert outcomes["answered"] >= 15, outcomes
 
 
-@then("no task of the load started twice by the upstreams' records")
+@then("by the upstreams' records no task of the load started twice")
 def step_once(context):
-    # A lookup whose worker failed is tried again, as its caller allows.
-    twice = {
-        task: n
-        for task, n in context.cluster.starts().items()
-        if n > 1 and task[0] not in context.lookups
+    # An idempotent request whose worker failed may be retried.
+    repeated_starts = {
+        task: count
+        for task, count in context.cluster.starts().items()
+        if count > 1 and task[0] not in context.idempotent
     }
-    assert not twice, twice
+    assert not repeated_starts, repeated_starts
--- a/features/steps/process_guard_steps.py
+++ b/features/steps/process_guard_steps.py
@@ -7,36 +7,38 @@
 
 from tools.cluster import Cluster, Worker, token_of
 
-# As the brief says of reports; so one comes every two seconds. The large request lasts
-# for several of them, and ends well if it is not guarded.
-REPORT_LATE_MS = 1_000
+# The delay of usage reports that the brief names; one then arrives every two seconds.
+# The large request runs for several of them, and succeeds without the guard.
+REPORT_DELAY_MS = 1_000
 LARGE_MS = 8_000
 SMALL_MS = 3_000
 DEADLINE_MS = 25_000
-WISHES = ("stop", "throttle", "checkpoint")
+GUARD_ACTIONS = ("stop", "throttle", "checkpoint")
 
 
-def deploy(context, enabled="yes", can_checkpoint=False):
+def start_cluster(context, enabled="yes", can_checkpoint=False):
     worker = Worker("w1", "booking", memory_mb=1000, can_checkpoint=can_checkpoint)
     changes = {"agent": {"guard": {"enabled": enabled}}}
     context.cluster = Cluster(1, [worker], changes)
     context.clean_ups = [context.cluster.close]
     context.cluster.__enter__()
     context.cluster.wait_ready()
-    context.cluster.set_upstream_faults("w1", usage_late_ms=REPORT_LATE_MS)
+    context.cluster.set_upstream_faults("w1", usage_late_ms=REPORT_DELAY_MS)
 
 
-@given("a worker of 1000 MB with its guard {state}, whose upstream can save tasks")
+@given(
+    "a worker of 1000 MB with its guard {state}, whose upstream can checkpoint tasks"
+)
 def step_saving_worker(context, state):
-    deploy(context, can_checkpoint=True)
+    start_cluster(context, can_checkpoint=True)
 
 
 @given("a worker of 1000 MB with its guard {state}")
 def step_worker(context, state):
-    deploy(context, "yes" if state == "on" else "no")
+    start_cluster(context, "yes" if state == "on" else "no")
 
 
-def send(context, name, declared_mb, used_mb, duration_ms, idempotent=False):
+def send_request(context, name, declared_mb, used_mb, duration_ms, idempotent=False):
     headers = {
         "Authorization": f"Bearer {token_of('labuta')}",
         "Cactuswalk-Memory-Mb": str(declared_mb),
@@ -46,8 +48,8 @@
         headers["Cactuswalk-Idempotent"] = "?1"
     url = f"{context.cluster.entry_url(0)}/v1/services/booking/requests"
     body = {"work": name, "duration_ms": duration_ms, "uses_mb": used_mb}
-    patience_s = 2 * DEADLINE_MS / 1000
-    return context.cluster.request("POST", url, body, headers, patience_s)
+    max_wait_s = 2 * DEADLINE_MS / 1000
+    return context.cluster.request("POST", url, body, headers, max_wait_s)
 
 
 @when(
@@ -57,16 +59,17 @@
 def step_run(context, declared, used):
     with ThreadPoolExecutor(4) as pool:
         small = [
-            pool.submit(send, context, "small", 20, 20, SMALL_MS) for _ in range(3)
+            pool.submit(send_request, context, "small", 20, 20, SMALL_MS)
+            for _ in range(3)
         ]
-        large = pool.submit(send, context, "large", declared, used, LARGE_MS)
+        large = pool.submit(send_request, context, "large", declared, used, LARGE_MS)
     context.large = large.result()
     context.small = [one.result() for one in small]
 
 
 @when("an idempotent request that declares {declared:d} MB and uses {used:d} runs")
 def step_run_idempotent(context, declared, used):
-    context.large = send(context, "large", declared, used, LARGE_MS, True)
+    context.large = send_request(context, "large", declared, used, LARGE_MS, True)
 
 
 @then('the large request ends as "{outcome}" and its answer says "{words}"')
@@ -86,7 +89,7 @@
     assert [status for status, _ in context.small] == [200] * 3, context.small
 
 
-def submissions_of(context, work):
+def find_submissions(context, work):
     return {
         record["submission"]
         for record in context.cluster.records()
@@ -94,21 +97,21 @@
     }
 
 
-def wishes(context):
-    return [one for one in context.cluster.records() if one["event"] in WISHES]
+def list_guard_actions(context):
+    return [one for one in context.cluster.records() if one["event"] in GUARD_ACTIONS]
 
 
-@then('the upstream was asked to "{wish}" the large request, and none of the others')
-def step_asked(context, wish):
-    asked = wishes(context)
-    large = submissions_of(context, "large")
-    assert {one["submission"] for one in asked} == large, asked
-    assert wish in {one["event"] for one in asked}, asked
+@then('the upstream was asked to "{action}" the large request, and none of the others')
+def step_asked(context, action):
+    actions = list_guard_actions(context)
+    large = find_submissions(context, "large")
+    assert {one["submission"] for one in actions} == large, actions
+    assert action in {one["event"] for one in actions}, actions
 
 
-@then("the upstream was asked for nothing")
+@then("the upstream got no guard action")
 def step_asked_nothing(context):
-    assert not wishes(context), wishes(context)
+    assert not list_guard_actions(context), list_guard_actions(context)
 
 
 @then("the upstream has started the large request twice, as two attempts")
--- a/features/steps/process_path_steps.py
+++ b/features/steps/process_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the whole path as separate processes."""
+"""Steps for requests through all components as separate processes."""
 
 import asyncio
 
@@ -35,7 +35,7 @@
     assert not others, others
 
 
-@then("the upstreams' records prove no fault of it")
+@then("the upstreams' records show no fault")
 def step_no_fault(context):
     faults = faults_of(context.sent, context.cluster.starts())
     assert not faults, faults
@@ -52,8 +52,8 @@
     assert not any(ended.values()), ended
 
 
-@when('the judge is given a doubled start, a false "not run" and a missing start')
-def step_judge(context):
+@when('the check is given a duplicate start, a false "not run" and a missing start')
+def step_check(context):
     arrival = Arrival(0.0, KINDS[0], [50])
     sent = [
         Sent(arrival, "doubled", "answered", "", 0.1),
@@ -64,8 +64,8 @@
     context.faults = faults_of(sent, starts)
 
 
-@then("the judge names each of the three")
-def step_named(context):
+@then("the check reports each of the three")
+def step_reported(context):
     assert len(context.faults) == 3, context.faults
     for word in ("doubled", "false", "missing"):
         assert any(word in fault for fault in context.faults), context.faults
--- a/features/steps/process_slopes_steps.py
+++ b/features/steps/process_slopes_steps.py
@@ -8,30 +8,30 @@
 from tools.slopes import COUNTS, small_counts
 
 REMEDY = (
-    "If the change is meant, run 'python -m tools.slopes --counts' and give the "
+    "If the change is intended, run 'python -m tools.slopes --counts' and give the "
     "counts before and after in the commit."
 )
 
 
-@when("the small series of slopes are measured afresh")
+@when("the small series of slopes are measured again")
 def step_measure(context):
-    context.fresh = small_counts()
+    context.measured = small_counts()
 
 
 @then("each of their counts equals the one in tools/counts.json")
 def step_compare(context):
-    known = json.loads(COUNTS.read_text(encoding="utf-8"))
-    assert context.fresh.keys() == known.keys(), context.fresh.keys()
+    expected = json.loads(COUNTS.read_text(encoding="utf-8"))
+    assert context.measured.keys() == expected.keys(), context.measured.keys()
     changed = [
-        f"{name} at {size}: {known[name].get(size)} became {counts}"
-        for name, sizes in context.fresh.items()
+        f"{name} at {size}: {expected[name].get(size)} became {counts}"
+        for name, sizes in context.measured.items()
         for size, counts in sizes.items()
-        if known[name].get(size) != counts
+        if expected[name].get(size) != counts
     ]
     assert not changed, "\n".join([*changed, REMEDY])
 
 
-@when("a line is asked for through {count:d} sizes")
+@when("a line is fitted to {count:d} sizes")
 def step_few(context, count):
     sizes = list(range(1, count + 1))
     try:
--- a/features/steps/process_soak_steps.py
+++ b/features/steps/process_soak_steps.py
@@ -8,12 +8,12 @@
 @when("a day of {seconds:g} seconds with seed {seed:d} is played on real processes")
 def step_day(context, seconds, seed):
     context.day = Day(seed, seconds)
-    context.broken = context.day.play()
+    context.violations = context.day.play()
 
 
-@then("no promise was broken on it")
+@then("no guarantee was violated on it")
 def step_kept(context):
-    assert not context.broken, (context.broken, context.day.faults)
+    assert not context.violations, (context.violations, context.day.faults)
 
 
 @then("at least {count:d} jobs were answered")
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -15,7 +15,7 @@
 from tools.processes import ROOT, free_ports, wait_until
 from tools.workloads import plan
 
-# Long enough for a busy machine to start Python; nothing is measured by it.
+# Long enough for a busy machine to start Python.
 MAX_WAIT_S = 30.0
 
 LAUNCHER = """
@@ -32,7 +32,7 @@
 
 
 def has_ended(pid):
-    """Say whether a process is gone, or dead and only not yet reaped."""
+    """Return whether a process has exited, even if it is not reaped yet."""
     try:
         with open(f"/proc/{pid}/stat", encoding="utf-8") as file:
             return file.read().rpartition(")")[2].split()[0] == "Z"
