--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -1,6 +1,6 @@
 """A small deployment on the loopback, for tests and tools.
 
-Entries, agents each with its upstream stand-in, and the key-value stand-in, as
+Runs entries, agents with one upstream stand-in each, and the key-value stand-in as
 separate processes with generated settings::
 
     with Cluster(entries=2, workers=[Worker("w1", "booking")]) as cluster:
@@ -10,9 +10,9 @@
         cluster.restart("agent-w1")
         starts = cluster.starts()
 
-Names of processes: ``keyvalue``, ``entry-1`` and so on, ``agent-NAME`` and
-``upstream-NAME`` for each worker. Leaving the ``with`` block ends all of them,
-after a failure and after Ctrl-C too.
+Process names are ``keyvalue``, ``entry-1`` and so on, and ``agent-NAME`` and
+``upstream-NAME`` for each worker. Leaving the ``with`` block ends all processes, also
+after a failure or Ctrl-C.
 """
 
 import configparser
@@ -33,24 +33,24 @@
 
 __all__ = ["TEAMS", "Cluster", "Worker", "token_of"]
 
-# Callers of the generated settings: each name is a caller and its team.
+# Callers in the generated settings; each name is a caller and its team.
 TEAMS = ("glenmorrow", "labuta")
 OPERATOR = "on-call"
 
-# The first owner has to win the record of its cell, and be confirmed by more
-# than half of the roster; on a busy machine a process takes seconds to import.
+# The first owner must win its cell's record and be confirmed by more than half of the
+# roster, and on a busy machine a process takes seconds to import its modules.
 READY_TIMEOUT_S = 30.0
 
-# A stand-in that is asked for a switch answers at once or is gone.
+# Stand-ins answer control requests at once unless they have failed.
 CONTROL_TIMEOUT_S = 5.0
 
 
 class Worker(msgspec.Struct):
-    """A worker of the deployment; the defaults are the brief's.
+    """A worker of the deployment; the defaults are those of the brief.
 
-    :param cell: by default the name of its service.
-    :param saves: its upstream can checkpoint tasks.
-    :param labels: of the worker, in its agent's settings.
+    :param cell: name of the cell, by default that of the service.
+    :param can_checkpoint: whether its upstream can checkpoint tasks.
+    :param labels: labels in the agent's settings.
     """
 
     name: str
@@ -66,22 +66,21 @@
 
 
 def token_of(caller: str) -> str:
-    """Return the token of a caller or operator of the generated settings."""
+    """Return the token of a caller or operator in the generated settings."""
     return f"{caller}-token"
 
 
 class Cluster:
     """The processes of a deployment, by name.
 
-    :param entries: how many.
-    :param workers: one agent and one upstream stand-in each.
-    :param changes: options that replace generated ones, for agents and
-        entries alike where they know them: ``{"agent": {"cell":
-        {"ping_period_ms": "100"}}}`` by role, section and option.
-    :param directory: for settings, logs and records; a temporary one, removed
-        at the end, if it isn't given.
-    :param teams: callers of the generated settings.
-    :param network: whether messages between processes pass a network stand-in.
+    :param entries: number of entries.
+    :param workers: workers, with one agent and one upstream stand-in each.
+    :param changes: options that replace generated ones, by role, section and option:
+        ``{"agent": {"cell": {"ping_period_ms": "100"}}}``.
+    :param directory: directory of settings, logs and records; by default a temporary
+        one that is removed at the end.
+    :param teams: callers in the generated settings.
+    :param network: whether messages between processes pass network proxies.
     """
 
     def __init__(
@@ -94,23 +93,23 @@
         network: bool = False,
     ) -> None:
         self.network = network
-        self.listening: dict[str, str] = {}
+        self.listen_addresses: dict[str, str] = {}
         self.workers = {worker.name: worker for worker in workers}
         self.changes = changes or {}
         self.teams = teams
-        self.temporary = directory is None
+        self.is_temporary = directory is None
         self.directory = directory or Path(tempfile.mkdtemp(prefix="cactuswalk-"))
         self.processes: dict[str, Process] = {}
         self.urls: dict[str, str] = {}
         self.addresses: dict[str, str] = {}
         self.operator_urls: list[str] = []
-        self.earlier_handlers: dict[int, object] = {}
+        self.previous_handlers: dict[int, object] = {}
         self.entry_names = [f"entry-{number + 1}" for number in range(entries)]
-        self._lay_out()
+        self._prepare_processes()
 
     def __enter__(self) -> "Cluster":
-        """Start everything; what has started is ended if the rest fails."""
-        self._take_signals()
+        """Start all processes; if one fails, end those that have started."""
+        self._handle_sigterm()
         try:
             for process in self.processes.values():
                 process.start()
@@ -120,28 +119,28 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End everything."""
+        """End all processes."""
         self.close()
 
     def __getitem__(self, name: str) -> Process:
-        """Return a process by its name."""
+        """Return the process with this name."""
         return self.processes[name]
 
     def close(self) -> None:
-        """Kill what still runs, and remove a temporary directory."""
+        """Kill all running processes, and remove a temporary directory."""
         for process in reversed(self.processes.values()):
             process.end()
-        for number, handler in self.earlier_handlers.items():
+        for number, handler in self.previous_handlers.items():
             signal.signal(number, handler)
-        self.earlier_handlers.clear()
-        if self.temporary:
+        self.previous_handlers.clear()
+        if self.is_temporary:
             shutil.rmtree(self.directory, ignore_errors=True)
 
     def stop(self) -> dict[str, int]:
-        """Ask all for a planned stop, entries first, and return exit statuses.
+        """Stop all processes as planned, entries first, and return exit statuses.
 
-        A caller's request must find its owner and upstream until the entries
-        have finished, so each kind of process outlives those that need it.
+        Callers' requests need the owner and the upstreams until the entries have
+        finished, so each kind of process stops after those that depend on it.
         """
         statuses: dict[str, int] = {}
         for prefix in ("entry-", "upstream-", "agent-", "keyvalue", "network"):
@@ -153,19 +152,19 @@
         return statuses
 
     def restart(self, name: str) -> None:
-        """Start a process that has ended again, with the settings it had."""
+        """Start a process again, with the same settings, after it has ended."""
         self[name].start()
 
     def entry_url(self, number: int) -> str:
-        """Return the callers' base address of an entry, counted from 0."""
+        """Return the base URL of an entry for callers, counted from 0."""
         return self.urls[self.entry_names[number]]
 
     def operator_url(self, number: int) -> str:
-        """Return the operators' base address of an entry, counted from 0."""
+        """Return the base URL of an entry for operators, counted from 0."""
         return self.operator_urls[number]
 
     def is_ready(self, name: str) -> bool:
-        """Return whether a process answers that it is ready."""
+        """Return whether a process reports that it is ready."""
         try:
             status, _ = self.request("GET", f"{self.urls[name]}/ready")
         except OSError:
@@ -173,58 +172,59 @@
         return status == 200
 
     def wait_ready(self, *names: str, timeout_s: float = READY_TIMEOUT_S) -> None:
-        """Return once these, or all entries and agents, are ready.
+        """Wait until these, or all entries and agents, are ready.
 
-        :raises LaunchError: if one ends or isn't ready in time, with its log.
+        :raises LaunchError: if one ends or is not ready in time; the message has the
+            end of its log.
         """
         for name in names or [*self._agent_names(), *self.entry_names]:
-            self._wait_for(
+            self._wait_until_condition(
                 name, lambda name=name: self.is_ready(name), "ready", timeout_s
             )
 
     def set_upstream_faults(self, worker: str, **faults: object) -> None:
-        """Replace the faults of an upstream stand-in; none for all right."""
-        self._switch(f"upstream-{worker}", "POST", "faults", faults)
+        """Replace the faults of an upstream stand-in; no argument clears them."""
+        self._call_standin(f"upstream-{worker}", "POST", "faults", faults)
 
     def set_keyvalue_faults(self, **faults: object) -> None:
-        """Change some faults of the key-value stand-in; the others stay."""
-        self._switch("keyvalue", "POST", "faults", faults)
+        """Set some faults of the key-value stand-in; others stay as they are."""
+        self._call_standin("keyvalue", "POST", "faults", faults)
 
     def clear_keyvalue_faults(self) -> None:
-        """Make the key-value stand-in right again."""
-        self._switch("keyvalue", "DELETE", "faults", None)
+        """Clear all faults of the key-value stand-in."""
+        self._call_standin("keyvalue", "DELETE", "faults", None)
 
-    def set_link_faults(self, names: list[str], **conduct: object) -> None:
-        """Change how what is sent to these processes arrives."""
-        links = {name: conduct for name in names}
-        self._switch("network", "POST", "links", links)
+    def set_link_faults(self, names: list[str], **faults: object) -> None:
+        """Replace the faults of the links to these processes."""
+        links = {name: faults for name in names}
+        self._call_standin("network", "POST", "links", links)
 
     def clear_link_faults(self) -> None:
-        """Make all links of the network stand-in right again."""
-        self._switch("network", "DELETE", "links", None)
+        """Clear the faults of all links of the network stand-in."""
+        self._call_standin("network", "DELETE", "links", None)
 
     def keyvalue_calls(self) -> dict:
-        """Return what the key-value stand-in has counted."""
-        return self._switch("keyvalue", "GET", "calls", None)
+        """Return the call counts of the key-value stand-in."""
+        return self._call_standin("keyvalue", "GET", "calls", None)
 
     def records(self) -> list[dict]:
-        """Return the upstreams' own records, also of those that have died."""
-        found: list[dict] = []
+        """Return the records of all upstreams, running or not."""
+        records: list[dict] = []
         for worker in self.workers:
             path = self._record_path(worker)
             if path.exists():
                 lines = path.read_text(encoding="utf-8").splitlines()
-                found.extend(json.loads(line) for line in lines)
-        return found
+                records.extend(json.loads(line) for line in lines)
+        return records
 
     def starts(self) -> dict[tuple[str, int], int]:
-        """Return how often each task, by submission and index, has started."""
-        counted: dict[tuple[str, int], int] = {}
+        """Return the number of starts of each task, by submission and index."""
+        start_counts: dict[tuple[str, int], int] = {}
         for record in self.records():
             if record["event"] == "start":
                 task = (record["submission"], record["index"])
-                counted[task] = counted.get(task, 0) + 1
-        return counted
+                start_counts[task] = start_counts.get(task, 0) + 1
+        return start_counts
 
     def request(
         self,
@@ -234,14 +234,14 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = CONTROL_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        """Send one request and return status and body, errors included."""
+        """Send one request and return status and body, also of error responses."""
         data = None if body is None else json.dumps(body).encode()
-        asked = urllib.request.Request(
+        http_request = urllib.request.Request(
             url, data, {"Content-Type": "application/json"} | (headers or {})
         )
-        asked.method = method
+        http_request.method = method
         try:
-            with urllib.request.urlopen(asked, timeout=timeout_s) as response:
+            with urllib.request.urlopen(http_request, timeout=timeout_s) as response:
                 return response.status, response.read()
         except urllib.error.HTTPError as error:
             with error:
@@ -253,30 +253,38 @@
     def _record_path(self, worker: str) -> Path:
         return self.directory / f"upstream-{worker}.records"
 
-    def _switch(self, name: str, method: str, what: str, body: object) -> dict:
-        status, text = self.request(method, f"{self.urls[name]}/standin/{what}", body)
+    def _call_standin(
+        self, name: str, method: str, resource: str, body: object
+    ) -> dict:
+        status, text = self.request(
+            method, f"{self.urls[name]}/standin/{resource}", body
+        )
         if status != 200:
-            raise LaunchError(f"{name} refused {what} {body}: {status} {text!r}")
+            raise LaunchError(f"{name} refused {resource} {body}: {status} {text!r}")
         return json.loads(text)
 
-    def _wait_for(
-        self, name: str, condition: Callable[[], bool], what: str, timeout_s: float
+    def _wait_until_condition(
+        self,
+        name: str,
+        condition: Callable[[], bool],
+        description: str,
+        timeout_s: float,
     ) -> None:
         process = self[name]
 
-        def settled() -> bool:
+        def is_settled() -> bool:
             return condition() or not process.alive
 
         try:
-            wait_until(settled, timeout_s, f"{name} {what}")
+            wait_until(is_settled, timeout_s, f"{name} {description}")
         except LaunchError as error:
             raise LaunchError(f"{error}\n{process.tail()}") from error
         if not process.alive:
             status = process.exit_status
             raise LaunchError(f"{name} ended with {status}\n{process.tail()}")
 
-    def _lay_out(self) -> None:
-        """Choose all ports, and write the settings of each process."""
+    def _prepare_processes(self) -> None:
+        """Choose all ports, write the settings and prepare each process."""
         names = [*self.entry_names, *self._agent_names()]
         upstreams = [f"upstream-{worker}" for worker in self.workers]
         ports = iter(free_ports(2 + 4 * len(names) + len(upstreams)))
@@ -286,30 +294,33 @@
             self.urls[name] = f"http://127.0.0.1:{port}"
         for name in names:
             self.addresses[name] = f"tcp://127.0.0.1:{next(ports)}"
-            self.listening[name] = self.addresses[name]
+            self.listen_addresses[name] = self.addresses[name]
         self.operator_urls = [
             f"http://127.0.0.1:{next(ports)}" for _ in self.entry_names
         ]
         self._add("keyvalue", ["standins.keyvalue", "--port", str(keyvalue_port)])
         if self.network:
-            self._lay_out_network(names, ports)
+            self._prepare_network(names, ports)
         for number, name in enumerate(self.entry_names):
             path = self._write(name, "entry", self._entry_options(number, name))
             self._add(name, ["cactuswalk.commands.entry", "--settings", path])
         for worker in self.workers.values():
-            self._lay_out_worker(worker)
+            self._prepare_worker(worker)
 
-    def _lay_out_network(self, names: list[str], ports: Iterator[int]) -> None:
-        """Let each process listen behind the address that the others are told."""
+    def _prepare_network(self, names: list[str], ports: Iterator[int]) -> None:
+        """Put a link in front of each process, at the address that others know."""
         self.urls["network"] = f"http://127.0.0.1:{next(ports)}"
         arguments = ["standins.network", "--port", port_of(self.urls["network"])]
         for name in names:
-            self.listening[name] = f"tcp://127.0.0.1:{next(ports)}"
-            ends = port_of(self.addresses[name]), port_of(self.listening[name])
-            arguments += ["--link", name, *ends]
+            self.listen_addresses[name] = f"tcp://127.0.0.1:{next(ports)}"
+            link_ports = (
+                port_of(self.addresses[name]),
+                port_of(self.listen_addresses[name]),
+            )
+            arguments += ["--link", name, *link_ports]
         self._add("network", arguments)
 
-    def _lay_out_worker(self, worker: Worker) -> None:
+    def _prepare_worker(self, worker: Worker) -> None:
         agent, upstream = f"agent-{worker.name}", f"upstream-{worker.name}"
         path = self._write(agent, "agent", self._agent_options(worker, agent))
         self._add(agent, ["cactuswalk.commands.agent", "--settings", path])
@@ -340,7 +351,7 @@
                 "name": name,
                 "data_centre": "inverness",
                 "address": self.addresses[name],
-                "listen": self.listening[name],
+                "listen": self.listen_addresses[name],
             },
             "http": {"port": port_of(self.urls[name])},
             "operators_http": {"port": port_of(operators)},
@@ -358,7 +369,7 @@
                 "data_centre": worker.data_centre,
                 "rack": worker.rack,
                 "address": self.addresses[name],
-                "listen": self.listening[name],
+                "listen": self.listen_addresses[name],
             },
             "labels": worker.labels,
             "http": {"port": port_of(self.urls[name])},
@@ -382,21 +393,21 @@
             parser.write(file)
         return str(path)
 
-    def _take_signals(self) -> None:
-        """Turn SIGTERM into an exception, so that clean-up runs then too."""
+    def _handle_sigterm(self) -> None:
+        """Raise an exception on SIGTERM, so that the clean-up runs."""
         if threading.current_thread() is not threading.main_thread():
             return
-        earlier = signal.signal(signal.SIGTERM, _raise_exit)
-        self.earlier_handlers[signal.SIGTERM] = earlier
+        previous = signal.signal(signal.SIGTERM, _raise_exit)
+        self.previous_handlers[signal.SIGTERM] = previous
 
 
 def port_of(url: str) -> str:
-    """Return the port of an address."""
+    """Return the port of a URL or endpoint."""
     return url.rpartition(":")[2]
 
 
 def sha256(text: str) -> str:
-    """Return the digest of a token, as settings hold it."""
+    """Return the SHA-256 digest of a token, as stored in the settings."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
--- a/tools/deployment.py
+++ b/tools/deployment.py
@@ -1,15 +1,15 @@
 """A small deployment of dispatch entries and agents on loopback addresses.
 
-Entries, agents each with a worker's stand-in, and the metadata store's stand-in,
-as separate processes::
+Runs entries, agents with one stand-in of a worker each, and the stand-in of the
+metadata store as separate processes::
 
     with Deployment(entries=2, workers=3) as deployment:
         deployment.wait_ready()
         status, body = deployment.submit(0, tasks=4, ms=200)
         deployment["entry-1"].kill()
 
-Each host is an address of its own (127.0.0.N), as the platform's ports are the
-same on all hosts. Leaving the ``with`` block ends every process.
+Each host has a loopback address of its own, as the platform uses the same ports on
+all hosts. Leaving the ``with`` block ends every process.
 """
 
 import itertools
@@ -29,12 +29,15 @@
 HOST = "checks.example"
 PREFIX = "/checks/"
 
-READY_SECONDS = 30.0
-CALL_SECONDS = 15.0
+MAX_READY_SECONDS = 30.0
+CALL_TIMEOUT_SECONDS = 15.0
 
 
 def make_configuration(version: int = 1, **changes) -> dict:
-    """Return the operator's configuration with one queue."""
+    """Return a configuration with one queue, as an operator writes it.
+
+    :param changes: fields of the queue that replace the defaults.
+    """
     route = {
         "name": "checks",
         "host": HOST,
@@ -58,7 +61,7 @@
 def call_json(
     url: str, body: dict | None = None, method: str = "", host: str = ""
 ) -> tuple[int, dict, dict]:
-    """Make a call, and return its status, its JSON body and its headers."""
+    """Send a request and return status, JSON body and headers of the response."""
     data = None if body is None else json.dumps(body).encode()
     headers = {"Content-Type": "application/json"}
     if host:
@@ -67,14 +70,14 @@
         url, data, headers, method=method or ("POST" if data else "GET")
     )
     try:
-        with urllib.request.urlopen(request, timeout=CALL_SECONDS) as response:
+        with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_SECONDS) as response:
             text = response.read()
-            return response.status, _parse(text), dict(response.headers)
+            return response.status, parse_json(text), dict(response.headers)
     except urllib.error.HTTPError as error:
-        return error.code, _parse(error.read()), dict(error.headers)
+        return error.code, parse_json(error.read()), dict(error.headers)
 
 
-def _parse(text: bytes) -> dict:
+def parse_json(text: bytes) -> dict:
     try:
         return json.loads(text)
     except ValueError:
@@ -82,7 +85,12 @@
 
 
 class Deployment:
-    """The processes, by name: ``store``, ``entry-0``, ``agent-0``, ``worker-0``."""
+    """The processes, by name: ``store``, ``entry-0``, ``agent-0``, ``worker-0``.
+
+    :param entries: number of entries.
+    :param workers: number of workers, each with an agent.
+    :param cpu: capacity of each worker, in thousandths of a core.
+    """
 
     def __init__(self, entries: int = 2, workers: int = 3, cpu: int = 8000) -> None:
         self.directory = Path(tempfile.mkdtemp(prefix="cactuswalk-"))
@@ -116,61 +124,69 @@
         return f"127.0.2.{number + 1}"
 
     def __enter__(self) -> "Deployment":
-        """Start everything."""
+        """Start all processes."""
         for process in self.processes.values():
             process.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End everything, whatever its state."""
+        """End all processes, whatever their state."""
         for process in self.processes.values():
             process.end()
         shutil.rmtree(self.directory, ignore_errors=True)
 
     def __getitem__(self, name: str) -> Process:
-        """Return a process."""
+        """Return the process with this name."""
         return self.processes[name]
 
     @property
     def store_url(self) -> str:
-        """Where the store's stand-in takes calls and switches."""
+        """Base URL of the store's stand-in, for calls and faults."""
         return f"http://127.0.0.1:{self.ports['store']}"
 
     def caller_url(self, entry: int) -> str:
-        """Where an entry takes callers."""
+        """Return the URL of an entry's queue for callers."""
         return f"http://{self.entry_host(entry)}:{self.ports['callers']}{PREFIX}"
 
     def metrics(self, host: str) -> str:
-        """Return the metrics text of a process."""
+        """Return the metrics of the process on a host, as text."""
         url = f"http://{host}:{self.ports['metrics']}/metrics"
-        with urllib.request.urlopen(url, timeout=CALL_SECONDS) as response:
+        with urllib.request.urlopen(url, timeout=CALL_TIMEOUT_SECONDS) as response:
             return response.read().decode()
 
     def write_configuration(self, body: dict) -> None:
-        """Write the operator's configuration."""
-        put = {"key": "op/config", "value": json.dumps(body)}
-        call_json(f"{self.store_url}/put", put)
+        """Write the operator's configuration to the store."""
+        key_value = {"key": "op/config", "value": json.dumps(body)}
+        call_json(f"{self.store_url}/put", key_value)
 
-    def set_store_fault(self, mode: str, served: tuple[str, ...] = ()) -> None:
-        """Switch a fault of the store on, or all off."""
-        body = {"mode": mode, "except": list(served)}
+    def set_store_fault(
+        self, mode: str, exempt_addresses: tuple[str, ...] = ()
+    ) -> None:
+        """Set the fault mode of the store; an empty mode clears it.
+
+        :param exempt_addresses: clients that the fault does not affect.
+        """
+        body = {"mode": mode, "except": list(exempt_addresses)}
         call_json(f"{self.store_url}/fault", body)
 
     def wait_ready(self) -> None:
-        """Wait until every entry knows its queues and hears every agent."""
-        wait_until(self._store_answers, READY_SECONDS, "the store")
+        """Write the configuration; wait for ready entries and for agents with workers.
+
+        :raises LaunchError: if a process is not ready in time.
+        """
+        wait_until(self._store_answers, MAX_READY_SECONDS, "the store")
         self.write_configuration(make_configuration())
         for number in range(self.entries):
             wait_until(
                 lambda number=number: self.is_ready(number),
-                READY_SECONDS,
+                MAX_READY_SECONDS,
                 f"entry {number}",
             )
         for number in range(self.workers):
             name = f"agent-{number}"
             wait_until(
-                lambda name=name: self.tail_has(name, "found a worker"),
-                READY_SECONDS,
+                lambda name=name: self.has_logged(name, "found a worker"),
+                MAX_READY_SECONDS,
                 name,
             )
 
@@ -181,40 +197,40 @@
             return False
 
     def is_ready(self, entry: int) -> bool:
-        """Return whether an entry tells the balancer that it is ready."""
+        """Return whether an entry's readiness check succeeds."""
         url = f"http://{self.entry_host(entry)}:{self.ports['ready']}/v1/readyz"
         try:
             return call_json(url)[0] == 200
         except OSError:
             return False
 
-    def tail_has(self, name: str, text: str) -> bool:
-        """Return whether a process has logged a text."""
+    def has_logged(self, name: str, text: str) -> bool:
+        """Return whether a process's log contains a text."""
         return text in self[name].tail(100_000)
 
     def submit(
         self, entry: int, tasks: int, ms: int, identifier: str = "", **spec
     ) -> tuple[int, dict, dict]:
-        """Hand a best-effort job in and wait for its answer."""
+        """Submit a best-effort job and wait for its response."""
         name = identifier or f"{next(self.identifiers):016x}"
         body = make_job_body(tasks, ms, **spec)
         return call_json(self.caller_url(entry) + name, body, host=HOST)
 
     def submit_later(self, entry: int, tasks: int, ms: int, **spec) -> "PendingCall":
-        """Hand a job in on a thread of its own."""
+        """Submit a job in a separate thread."""
         pending = PendingCall(lambda: self.submit(entry, tasks, ms, **spec))
         pending.start()
         return pending
 
     def record(self, worker: int) -> list[dict]:
-        """Return what a worker's stand-in has seen of its runs."""
+        """Return the starts and ends of runs that a worker's stand-in has recorded."""
         url = f"http://{self.worker_host(worker)}:{self.ports['app']}/record"
         return call_json(url)[1]["record"]
 
     def evacuate(self, data_centre: str) -> None:
-        """Have a data centre evacuated."""
-        put = {"key": f"op/evacuate/{data_centre}", "value": "{}"}
-        call_json(f"{self.store_url}/put", put)
+        """Request the evacuation of a data centre."""
+        key_value = {"key": f"op/evacuate/{data_centre}", "value": "{}"}
+        call_json(f"{self.store_url}/put", key_value)
 
     def end_evacuation(self, data_centre: str) -> None:
         """End the evacuation of a data centre."""
@@ -222,9 +238,9 @@
         call_json(f"{self.store_url}/revoke", key)
 
     def list_started_tasks(self, *workers: int) -> list[str]:
-        """Return the task of each run that workers' stand-ins have begun.
+        """Return the task of each run that the workers' stand-ins have started.
 
-        :param workers: numbers of those to look at; all of them by default.
+        :param workers: numbers of the workers, by default all.
         """
         return [
             line["task"]
@@ -234,22 +250,22 @@
         ]
 
     def set_worker_faults(self, worker: int, **faults: bool) -> None:
-        """Switch a worker's faults."""
+        """Replace the faults of a worker's stand-in; no argument clears them."""
         url = f"http://{self.worker_host(worker)}:{self.ports['app']}/fault"
         call_json(url, faults)
 
     def find_overlaps(self) -> list[str]:
-        """Return the tasks of which two runs overlapped, by the workers' records."""
-        lines = sorted(
+        """Return the tasks with overlapping runs, by the workers' records."""
+        events = sorted(
             (line["at"], number, line["task"], line["run"], line["what"])
             for number in range(self.workers)
             for line in self.record(number)
         )
-        live: dict[str, set] = {}
+        active_runs: dict[str, set] = {}
         found = []
-        for _, number, task, run, what in lines:
-            runs = live.setdefault(task, set())
-            if what != "began":
+        for _, number, task, run, event in events:
+            runs = active_runs.setdefault(task, set())
+            if event != "began":
                 runs.discard((number, run))
                 continue
             if runs:
@@ -301,7 +317,7 @@
 """
 
     def _common_settings(self, role: str, number: int, host: str) -> str:
-        """Return the sections of both roles; the last one is open for more."""
+        """Return the settings of both roles; the last section may be extended."""
         ports = self.ports
         return f"""[process]
 name = {role}-{number}
@@ -322,14 +338,17 @@
 
 
 def make_job_body(tasks: int, ms: int, **spec) -> dict:
-    """Return a best-effort job of one step."""
+    """Return a best-effort job of one step.
+
+    :param spec: further fields of the task's spec, for the worker's stand-in.
+    """
     step = {"count": tasks, "cpu": 1000, "mem_mb": 64, "estimated_ms": ms}
     text = json.dumps({"ms": ms, "cpu": 1000} | spec)
     return {"spec": text, "steps": [step], "best_effort": True}
 
 
 class PendingCall(threading.Thread):
-    """A call that is under way; ``result`` is None if it had no answer."""
+    """A call in a separate thread; ``result`` is None if it got no response."""
 
     def __init__(self, call) -> None:
         super().__init__(daemon=True)
@@ -337,7 +356,7 @@
         self.result = None
 
     def run(self) -> None:
-        """Make the call."""
+        """Call the function and keep its result."""
         try:
             self.result = self.call()
         except OSError:
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,7 +1,7 @@
-"""Start, freeze, kill and end processes by name, and leave none behind.
+"""Start, freeze, kill and end child processes by name.
 
-For tests and tools only: the product starts no process. Whoever starts one
-here ends it here, by its own handle.
+For tests and tools only: cactuswalk itself starts no processes. A process is ended
+only by the ``Process`` that started it.
 """
 
 import ctypes
@@ -19,9 +19,9 @@
 # From <sys/prctl.h>: the kernel sends the child a signal when its parent dies.
 PR_SET_PDEATHSIG = 1
 
-# How long a process that was told to stop has to finish what it has in flight.
-GRACE_S = 10.0
-POLL_S = 0.02
+# Time limit for a process to finish its work in flight after SIGTERM.
+MAX_STOP_S = 10.0
+POLL_INTERVAL_S = 0.02
 
 
 class LaunchError(Exception):
@@ -29,12 +29,12 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return free loopback ports that nobody else is handed meanwhile.
+    """Return free loopback ports that the kernel gives to no other process meanwhile.
 
-    A port that is bound to 0 and closed again is free for the next process
-    that asks, and features that run side by side then steal each other's. A
-    finished connection leaves the port in TIME_WAIT instead: for a minute the
-    kernel hands it to nobody, but a server that names it can still bind it.
+    A port found by binding to 0 and closing the socket may be given to the next
+    process that asks, so that features running in parallel get the same ports. A
+    finished connection leaves the port in TIME_WAIT instead: for a minute the kernel
+    doesn't choose it for others, but a server can still bind it by its number.
     """
     return [_reserve_port() for _ in range(count)]
 
@@ -51,27 +51,28 @@
         return listener.getsockname()[1]
 
 
-def wait_until(condition, timeout_s: float, what: str) -> None:
+def wait_until(condition, timeout_s: float, description: str) -> None:
     """Return once ``condition()`` is true.
 
-    :raises LaunchError: after ``timeout_s``, naming ``what`` was waited for.
+    :param description: what the caller waits for, for the error message.
+    :raises LaunchError: if the condition is not true within ``timeout_s``.
     """
     end = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > end:
-            raise LaunchError(f"{what}: not within {timeout_s} s")
-        time.sleep(POLL_S)
+            raise LaunchError(f"{description}: timed out after {timeout_s} s")
+        time.sleep(POLL_INTERVAL_S)
 
 
 def _die_with_parent() -> None:
-    """Ask the kernel to end this child if the launcher is killed itself."""
+    """Have the kernel kill this child process if the launcher ends."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Process:
-    """One process of a deployment, with its log in the given directory.
+    """One process of a deployment, which logs to a file in ``directory``.
 
-    :param arguments: after ``python -m``.
+    :param arguments: module and arguments, after ``python -m``.
     """
 
     __slots__ = ("arguments", "handle", "log", "name")
@@ -83,9 +84,9 @@
         self.handle: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Start it, or start it again after it has ended."""
+        """Start the process, or restart it after it has ended."""
         if self.alive:
-            raise LaunchError(f"{self.name} runs already")
+            raise LaunchError(f"{self.name} is already running")
         with self.log.open("ab") as log:
             self.handle = subprocess.Popen(
                 [sys.executable, "-m", *self.arguments],
@@ -94,61 +95,63 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                # Ctrl-C at the terminal goes to the launcher alone, which then
-                # ends the others in its own order.
+                # Ctrl-C at the terminal then reaches only the launcher, which ends
+                # the others in its own order.
                 process_group=0,
                 preexec_fn=_die_with_parent,
             )
 
     @property
     def alive(self) -> bool:
-        """Return whether it runs (a frozen process does)."""
+        """Return whether the process is running, frozen or not."""
         return self.handle is not None and self.handle.poll() is None
 
     @property
     def pid(self) -> int:
-        """Return its process id."""
+        """Return the process id."""
         return self._running().pid
 
     @property
     def exit_status(self) -> int | None:
-        """Return how it ended, None while it runs."""
+        """Return the exit status, None while the process is running."""
         return self.handle.poll() if self.handle else None
 
     def kill(self) -> None:
-        """Kill it at once, as a host's death would."""
+        """Send SIGKILL, which simulates a host failure, and wait for the end."""
         self._running().kill()
         self._running().wait()
 
     def freeze(self) -> None:
-        """Pause it without its knowing."""
+        """Suspend the process with SIGSTOP, which it can't detect."""
         self._running().send_signal(signal.SIGSTOP)
 
     def unfreeze(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         self._running().send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask for a planned stop and return at once."""
+        """Send SIGTERM for a planned stop and return at once."""
         self._running().terminate()
 
-    def wait(self, timeout_s: float = GRACE_S) -> int:
-        """Return the exit status once it has ended.
+    def wait(self, timeout_s: float = MAX_STOP_S) -> int:
+        """Wait for the process to end and return its exit status.
 
-        :raises LaunchError: if it runs on.
+        :raises LaunchError: if it is still running after ``timeout_s``.
         """
         try:
             return self._running().wait(timeout_s)
         except subprocess.TimeoutExpired as error:
-            raise LaunchError(f"{self.name} runs on after {timeout_s} s") from error
+            raise LaunchError(
+                f"{self.name} is still running after {timeout_s} s"
+            ) from error
 
     def end(self) -> None:
-        """End it whatever its state; nothing happens if it has ended."""
+        """Kill the process unless it has ended."""
         if self.alive:
             self.kill()
 
     def tail(self, lines: int = 15) -> str:
-        """Return the end of its log."""
+        """Return the last lines of the process's log."""
         if not self.log.exists():
             return ""
         text = self.log.read_text(encoding="utf-8", errors="replace")
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,8 +1,8 @@
 """Long randomised runs of the reducers: ``make soak``.
 
-Prints its seed first, so that a run can be repeated, and at the end how many
-scripts and faults of each kind it tried. A script that breaks a promise is
-printed in its smallest form, and the exit status is 1.
+Prints the seed first, so that a run can be repeated, and at the end the number of
+scripts and of faults of each kind. If a script violates a guarantee, its minimised
+form is printed and the exit status is 1.
 """
 
 import collections
@@ -17,12 +17,12 @@
 from features.support.script import SCRIPTS, play
 from features.support.targeted import TARGETED, play_targeted
 
-# Scripts between two looks at the clock.
-BATCH = 200
+# Scripts per kind between two checks of the time limit.
+BATCH_SCRIPTS = 200
 
 
 class Tally:
-    """What has been tried so far."""
+    """Counts of the scripts, steps and outcomes so far."""
 
     def __init__(self) -> None:
         self.scripts = 0
@@ -30,18 +30,18 @@
         self.outcomes: collections.Counter[str] = collections.Counter()
 
     def add(self, played) -> None:
-        """Count one script that has been run."""
+        """Add the counts of one finished script."""
         self.scripts += 1
         self.steps.update(played.counts)
-        for handed in played.bag.handed.values():
-            if handed.reply is not None:
-                self.outcomes[str(handed.reply.outcome)] += 1
+        for submission in played.bag.handed.values():
+            if submission.reply is not None:
+                self.outcomes[str(submission.reply.outcome)] += 1
 
-    def show(self) -> str:
-        """Return the tally as lines."""
+    def format_lines(self) -> str:
+        """Return the counts as lines of text."""
         steps = ", ".join(f"{name} {count}" for name, count in self.steps.items())
-        told = ", ".join(f"{name} {count}" for name, count in self.outcomes.items())
-        return f"scripts {self.scripts}\nsteps: {steps}\ncallers were told: {told}"
+        outcomes = ", ".join(f"{name} {count}" for name, count in self.outcomes.items())
+        return f"scripts {self.scripts}\nsteps: {steps}\ncallers were told: {outcomes}"
 
 
 @click.command()
@@ -54,16 +54,16 @@
     tally, end = Tally(), time.monotonic() + seconds
     try:
         while time.monotonic() < end:
-            run_scripts(SCRIPTS, play, seed, BATCH, tally.add)
-            run_scripts(TARGETED, play_targeted, seed, BATCH, tally.add)
-            run_scripts(CELL_SCRIPTS, play_cells, seed, BATCH, tally.add)
+            run_scripts(SCRIPTS, play, seed, BATCH_SCRIPTS, tally.add)
+            run_scripts(TARGETED, play_targeted, seed, BATCH_SCRIPTS, tally.add)
+            run_scripts(CELL_SCRIPTS, play_cells, seed, BATCH_SCRIPTS, tally.add)
             seed += 1
     except Exception as error:
-        click.echo(f"failed at seed {seed}: {error}\n{tally.show()}")
+        click.echo(f"failed at seed {seed}: {error}\n{tally.format_lines()}")
         for note in getattr(error, "__notes__", []):
             click.echo(note)
         sys.exit(1)
-    click.echo(f"{tally.show()}\nviolations 0")
+    click.echo(f"{tally.format_lines()}\nviolations 0")
 
 
 if __name__ == "__main__":
--- a/tools/soak_dispatch.py
+++ b/tools/soak_dispatch.py
@@ -1,7 +1,7 @@
 """Random days of dispatch entries, agents and workers on a virtual clock.
 
-Prints each seed that breaks a promise, with its faults; exit status 1 if any does.
-A day of 12 s takes about half a second of processor time.
+Prints each seed that violates a guarantee, with its faults, and then exits with
+status 1. A day of 12 s takes about half a second of processor time.
 """
 
 import sys
@@ -23,19 +23,19 @@
 @click.option(
     "--centres",
     default=0,
-    help="Data centres; each entry has one of its own if this is not given.",
+    help="Data centres; by default each entry has its own.",
 )
 def main(first: int, days: int, entries: int, workers: int, centres: int) -> None:
-    """Play days with fresh seeds; one seed repeats exactly."""
-    failed = 0
+    """Play days with consecutive seeds; a seed repeats its day exactly."""
+    violated_days = 0
     for seed in range(first, first + days):
         day = RandomDay(seed, entries, workers, centres or None)
         day.play(DAY_SECONDS)
         if day.is_broken():
-            failed += 1
+            violated_days += 1
             click.echo(f"seed {seed}: {day.summary()}")
-    click.echo(f"{days} days, {failed} with a promise broken")
-    sys.exit(1 if failed else 0)
+    click.echo(f"{days} days, {violated_days} with a guarantee violated")
+    sys.exit(1 if violated_days else 0)
 
 
 if __name__ == "__main__":
--- a/tools/soak_processes.py
+++ b/tools/soak_processes.py
@@ -1,13 +1,14 @@
-"""Random faults on the real dispatch programs, while callers come all the time.
+"""Random faults on the real dispatch programs under continuous load.
 
-Entries and agents are killed, frozen and told to stop, the store fails in its ways,
-workers fail, stall and drain; the workers' stand-ins keep a record of every run. A
-seed repeats the order of faults and jobs, though not the moment to the millisecond.
+Entries and agents are killed, frozen and stopped, the store fails in several modes,
+and workers fail, stall and drain; the workers' stand-ins record every run. A seed
+repeats the order of faults and jobs, but not their exact times.
 
     python -m tools.soak_processes --first 1 --days 5
 
-Prints each day; exit status 1 if a day breaks a promise: a task ran twice at once, a
-caller who stayed got no answer, or a job that was refused as not run had run.
+Prints each day. The exit status is 1 if a day violates a guarantee: two runs of a
+task overlapped, a caller that kept waiting got no response, or a job refused as not
+run had run.
 """
 
 import itertools
@@ -28,28 +29,28 @@
 WORKERS = 3
 WORKER_CPU = 16_000
 
-# A day's load: each caller hands in a job, waits for its end and goes on.
+# Load of a day: each caller submits one job after another and waits for each.
 CALLERS = 6
-SHORTEST_MS = 20
-LONGEST_MS = 900
-MOST_TASKS = 4
+MIN_TASK_MS = 20
+MAX_TASK_MS = 900
+MAX_TASKS = 4
 
 RESEND_SECONDS = 1.3
 FAULT_GAP_SECONDS = 0.7
 FREEZE_SECONDS = 2.0
 READY_SECONDS = 15.0
 
-# Ended, refused, not finished in time; and a connection that broke.
-TRUE_STATUSES = {200, 503, 504, 0}
+# Ended, refused, not finished in time, and 0 for a broken connection.
+EXPECTED_STATUSES = {200, 503, 504, 0}
 
 STORE_MODES = ("silent", "busy", "reset")
 WORKER_MODES = ("fails", "mute", "draining")
 
 
 class Job(msgspec.Struct):
-    """A job as its caller saw it.
+    """A job from its caller's view.
 
-    :param statuses: of its tries, 0 for a connection that broke.
+    :param statuses: response status of each attempt, 0 for a broken connection.
     """
 
     name: str
@@ -57,9 +58,9 @@
 
 
 class Day:
-    """Plays one seed.
+    """One day of load and faults, repeatable by its seed.
 
-    :ivar faults: what was done, in order.
+    :ivar faults: description of each fault, in order.
     """
 
     def __init__(self, seed: int, seconds: float) -> None:
@@ -69,15 +70,15 @@
         self.jobs: list[Job] = []
         self.numbers = itertools.count(1)
         self.lock = threading.Lock()
-        self.over = threading.Event()
+        self.ended = threading.Event()
         self.faults: list[str] = []
 
     def play(self) -> list[str]:
-        """Return the promises that were broken."""
+        """Play the day and return the violated guarantees."""
         with self.deployment as deployment:
             deployment.wait_ready()
             callers = [
-                threading.Thread(target=self._call, args=(random.Random(number),))
+                threading.Thread(target=self._run_caller, args=(random.Random(number),))
                 for number in range(CALLERS)
             ]
             for caller in callers:
@@ -85,33 +86,33 @@
             end = time.monotonic() + self.seconds
             while time.monotonic() < end:
                 time.sleep(self.generator.uniform(0.2, 2 * FAULT_GAP_SECONDS))
-                self._fault()
-            self.over.set()
+                self._inject_fault()
+            self.ended.set()
             for caller in callers:
                 caller.join()
-            return self._judge()
+            return self._find_violations()
 
     # Callers.
 
-    def _call(self, generator: random.Random) -> None:
-        while not self.over.is_set():
+    def _run_caller(self, generator: random.Random) -> None:
+        while not self.ended.is_set():
             with self.lock:
                 job = Job(f"{next(self.numbers):016x}")
                 self.jobs.append(job)
-            tasks = generator.randint(1, MOST_TASKS)
-            ms = generator.randint(SHORTEST_MS, LONGEST_MS)
-            self._hand_in(job, tasks, ms, generator.randrange(ENTRIES))
+            tasks = generator.randint(1, MAX_TASKS)
+            ms = generator.randint(MIN_TASK_MS, MAX_TASK_MS)
+            self._submit_until_answered(job, tasks, ms, generator.randrange(ENTRIES))
 
-    def _hand_in(self, job: Job, tasks: int, ms: int, entry: int) -> None:
-        """Hand a job in, and again at the other entry while connections break."""
+    def _submit_until_answered(self, job: Job, tasks: int, ms: int, entry: int) -> None:
+        """Submit a job; resubmit it to the next entry while connections break."""
         for attempt in range(ENTRIES * 4):
-            status = self._try(job, tasks, ms, (entry + attempt) % ENTRIES)
+            status = self._submit_once(job, tasks, ms, (entry + attempt) % ENTRIES)
             job.statuses.append(status)
             if status:
                 return
             time.sleep(RESEND_SECONDS)
 
-    def _try(self, job: Job, tasks: int, ms: int, entry: int) -> int:
+    def _submit_once(self, job: Job, tasks: int, ms: int, entry: int) -> int:
         try:
             status, _, _ = self.deployment.submit(entry, tasks, ms, job.name)
         except OSError:
@@ -120,50 +121,55 @@
 
     # Faults.
 
-    def _fault(self) -> None:
-        kinds = (self._freeze, self._stop, self._store, self._worker)
-        self.generator.choice((self._kill, self._kill, *kinds))()
+    def _inject_fault(self) -> None:
+        other_faults = (
+            self._freeze_process,
+            self._stop_process,
+            self._fail_store,
+            self._fail_worker,
+        )
+        self.generator.choice((self._kill_process, self._kill_process, *other_faults))()
 
-    def _process(self) -> str:
+    def _choose_process(self) -> str:
         names = [f"entry-{number}" for number in range(ENTRIES)]
         names += [f"agent-{number}" for number in range(WORKERS)]
         return self.generator.choice(names)
 
-    def _kill(self) -> None:
-        name = self._process()
+    def _kill_process(self) -> None:
+        name = self._choose_process()
         self.faults.append(f"kill {name}")
         self.deployment[name].kill()
         time.sleep(self.generator.uniform(0.0, 1.0))
-        self._start(name)
+        self._start_process(name)
 
-    def _freeze(self) -> None:
-        name = self._process()
+    def _freeze_process(self) -> None:
+        name = self._choose_process()
         self.faults.append(f"freeze {name}")
         self.deployment[name].freeze()
         time.sleep(self.generator.uniform(0.1, FREEZE_SECONDS))
         self.deployment[name].unfreeze()
 
-    def _stop(self) -> None:
-        name = self._process()
+    def _stop_process(self) -> None:
+        name = self._choose_process()
         self.faults.append(f"stop {name}")
         self.deployment[name].terminate()
         self.deployment[name].wait()
-        self._start(name)
+        self._start_process(name)
 
-    def _start(self, name: str) -> None:
+    def _start_process(self, name: str) -> None:
         self.deployment[name].start()
         if name.startswith("entry"):
             number = int(name[-1])
             wait_until(lambda: self.deployment.is_ready(number), READY_SECONDS, name)
 
-    def _store(self) -> None:
+    def _fail_store(self) -> None:
         mode = self.generator.choice(STORE_MODES)
         self.faults.append(f"store {mode}")
         self.deployment.set_store_fault(mode)
         time.sleep(self.generator.uniform(0.2, 2.0))
         self.deployment.set_store_fault("")
 
-    def _worker(self) -> None:
+    def _fail_worker(self) -> None:
         number = self.generator.randrange(WORKERS)
         mode = self.generator.choice(WORKER_MODES)
         self.faults.append(f"worker {number} {mode}")
@@ -171,29 +177,36 @@
         time.sleep(self.generator.uniform(0.2, 1.5))
         self.deployment.set_worker_faults(number)
 
-    # Verdict.
+    # Check of the results.
 
-    def _judge(self) -> list[str]:
-        broken = [f"twice at once: {task}" for task in self.deployment.find_overlaps()]
+    def _find_violations(self) -> list[str]:
+        violations = [
+            f"overlapping runs: {task}" for task in self.deployment.find_overlaps()
+        ]
         for name, process in self.deployment.processes.items():
-            _, found, rest = process.tail(1_000_000).partition("Traceback")
-            if found:
-                broken.append(f"{name} raised: {rest[:2000]}")
-        ran = {task.partition(".")[0] for task in self.deployment.list_started_tasks()}
+            _, has_traceback, rest = process.tail(1_000_000).partition("Traceback")
+            if has_traceback:
+                violations.append(f"{name} raised: {rest[:2000]}")
+        started_jobs = {
+            task.partition(".")[0] for task in self.deployment.list_started_tasks()
+        }
         for job in self.jobs:
             if not job.statuses[-1]:
-                broken.append(f"no answer: {job.name} {job.statuses}")
-            if not TRUE_STATUSES.issuperset(job.statuses):
-                broken.append(f"no answer of ours: {job.name} {job.statuses}")
-            if set(job.statuses) == {503} and job.name in ran:
-                broken.append(f"refused as not run, and has run: {job.name}")
-        return broken
+                violations.append(f"no answer: {job.name} {job.statuses}")
+            if not EXPECTED_STATUSES.issuperset(job.statuses):
+                violations.append(f"unexpected status: {job.name} {job.statuses}")
+            if set(job.statuses) == {503} and job.name in started_jobs:
+                violations.append(f"refused as not run, but had run: {job.name}")
+        return violations
 
     def summary(self) -> str:
-        """Return how many jobs ended how."""
-        ends = [job.statuses[-1] for job in self.jobs]
-        counts = ", ".join(f"{end}: {ends.count(end)}" for end in sorted(set(ends)))
-        return f"{len(ends)} jobs ({counts}), {len(self.faults)} faults"
+        """Return the number of jobs by last status, and of faults, as a line."""
+        last_statuses = [job.statuses[-1] for job in self.jobs]
+        counts = ", ".join(
+            f"{status}: {last_statuses.count(status)}"
+            for status in sorted(set(last_statuses))
+        )
+        return f"{len(last_statuses)} jobs ({counts}), {len(self.faults)} faults"
 
 
 @click.command()
@@ -206,14 +219,14 @@
     for seed in range(first, first + days):
         day = Day(seed, seconds)
         try:
-            broken = day.play()
+            violations = day.play()
         except LaunchError as error:
-            broken = [str(error)]
-        failed += bool(broken)
+            violations = [str(error)]
+        failed += bool(violations)
         click.echo(f"seed {seed}: {day.summary()}")
-        for promise in broken[:5]:
-            click.echo(f"  broken: {promise}; faults: {', '.join(day.faults)}")
-    click.echo(f"{days} days, {failed} with a promise broken")
+        for violation in violations[:5]:
+            click.echo(f"  violated: {violation}; faults: {', '.join(day.faults)}")
+    click.echo(f"{days} days, {failed} with a guarantee violated")
     sys.exit(1 if failed else 0)
 
 
