--- a/features/process_keys.feature
+++ b/features/process_keys.feature
@@ -6,7 +6,7 @@
     Given a deployment of three workers with one key pair
     When the deployment with keys starts
     Then each entry of the deployment with keys serves
-    And what a process of the deployment with keys says can't be read on the way
+    And messages between processes of the deployment with keys are encrypted
 
   Scenario Outline: An agent <how> is refused
     Someone starts an agent on a host outside the fleet that can reach the network,
--- a/features/steps/process_faults_keys_steps.py
+++ b/features/steps/process_faults_keys_steps.py
@@ -134,7 +134,7 @@
     wait_served(context.cluster)
 
 
-@then("what a process of the deployment with keys says can't be read on the way")
+@then("messages between processes of the deployment with keys are encrypted")
 def step_encrypted(context):
     """Send a frame to an agent through a proxy that records the bytes."""
     secret = "confidential-mark"
