--- a/features/callers_support.py
+++ b/features/callers_support.py
@@ -1,4 +1,4 @@
-"""A callers' application before a fake entry, and how it is spoken to."""
+"""A callers' application with a fake entry, and helpers to send it requests."""
 
 import asyncio
 import datetime
@@ -28,7 +28,7 @@
 
 
 class FakeEntry:
-    """Answers each task by its own body, or as a scenario says."""
+    """Answers each task with its own body, or as a scenario sets ``reply``."""
 
     def __init__(self):
         self.events, self.gone, self.cancelled = [], [], []
--- a/features/edges_support.py
+++ b/features/edges_support.py
@@ -1,4 +1,4 @@
-"""What the features of the HTTP edges share: a loop, servers, and a client."""
+"""Shared helpers of the HTTP features: an event loop, servers and a client."""
 
 import asyncio
 import time
@@ -20,7 +20,7 @@
 
 
 def run(context, coroutine):
-    """Run a coroutine in the scenario's own loop."""
+    """Run a coroutine in the event loop of the scenario."""
     if not hasattr(context, "edge_loop"):
         context.edge_loop = asyncio.new_event_loop()
         add_clean_up(context, lambda: close_loop(context.edge_loop))
@@ -30,7 +30,7 @@
 
 
 def close_loop(loop):
-    """Close a loop after what a fault has left pending in it."""
+    """Cancel the tasks that a failed scenario left pending, and close the loop."""
 
     async def end_all():
         left = asyncio.all_tasks() - {asyncio.current_task()}
@@ -43,7 +43,7 @@
 
 
 def serve(context, application, **options):
-    """Serve an application on a free port of the loopback; return the port."""
+    """Serve an application on a free loopback port; return the port."""
 
     async def start():
         runner = web.AppRunner(
@@ -59,7 +59,7 @@
 
 
 def serve_stand_in(context, **options):
-    """Serve a stand-in upstream in the loop; return it and its port."""
+    """Serve a stand-in upstream in the scenario's loop; return it and its port."""
     upstream = StandInUpstream(Options(name="w1", service="booking", **options))
     return upstream, serve(context, make_application(upstream))
 
@@ -76,13 +76,13 @@
 
 
 async def until(condition):
-    """Return once something is so."""
+    """Wait until the condition holds, with a timeout."""
     end = time.monotonic() + PATIENCE_SECONDS
     while not condition():
-        assert time.monotonic() < end, "it never came"
+        assert time.monotonic() < end, "timed out waiting for a condition"
         await asyncio.sleep(0.005)
 
 
 def wait_until(context, condition):
-    """Let the loop run until something is so."""
+    """Run the loop until the condition holds."""
     run(context, until(condition))
--- a/features/http_callers.feature
+++ b/features/http_callers.feature
@@ -1,7 +1,7 @@
-Feature: Callers over HTTP get their own whole answer or the truth
+Feature: Callers over HTTP get their own complete answer or a true outcome
 
   Background:
-    Given a callers' application before a fake entry
+    Given a callers' application with a fake entry
 
   Scenario: A request gets the upstream's body
     When a caller posts the request {"pupil": 7} to "route-planning"
@@ -9,7 +9,7 @@
     And the caller's answer names its submission and the outcome "answered"
     And the entry was handed one request of team "planning" with 10000 ms left
 
-  Scenario: What a caller declares reaches the entry
+  Scenario: The work that a caller declares reaches the entry
     When a caller posts the request {"stop": 3} to "route-planning" with the headers
       | header                  | value                |
       | Cactuswalk-Deadline-Ms  | 900                  |
@@ -22,18 +22,18 @@
     Then the caller gets status 200 and the body {"stop": 3}
     And the entry was handed the declared work
 
-  Scenario: A body of exactly the limit is taken
+  Scenario: A body of exactly the maximum size is accepted
     When a caller posts a body of exactly the limit
     Then the entry was handed one request of team "planning" with 10000 ms left
 
-  Scenario: A job gets the whole JSON
+  Scenario: A job gets all results as JSON
     When a caller posts a job of 140 tasks to "booking"
     Then the caller gets status 200 and 140 results in order
 
-  Scenario Outline: Bad input has a code of its own, and nothing is started
-    A caller's program has a fault or a clerk's file is cut in two. Work that was
-    started on half of it would book a pen that nobody asked for.
-    When a caller sends bad input: <input>
+  Scenario Outline: Invalid input is rejected with its own code, and nothing is started
+    Guards against work started from faulty or truncated input, such as a booking
+    that nobody asked for.
+    When a caller sends invalid input: <input>
     Then the caller gets the problem "<code>" with status <status> and the outcome "not_run"
     And the entry was handed nothing
 
@@ -72,7 +72,7 @@
       | a path of odd bytes      | 404    | no_such_path                  |
       | a wrong method           | 405    | method_not_allowed            |
 
-  Scenario Outline: Keys tell when they were made
+  Scenario Outline: Creation times of keys
     When a caller posts a request with the key <key> and first sent <first_sent>
     Then the entry was handed a request born at <born>
 
@@ -85,33 +85,33 @@
       | a UUIDv7      | 2020-01-01T00:00:00Z      | the key's birth  |
 
   Scenario: A submission older than its records is not run again
-    A caller's queue is restarted after a day and sends yesterday's seat check
-    again. Its record is gone, so nobody may take it for new.
+    A caller's queue restarts after a day and resubmits old work. Its record has
+    expired, so it must not be treated as a new submission.
     When a caller posts a request with the key order-17 and first sent 2026-12-02T10:50:05Z
     Then the caller gets the problem "too_old_to_know" with status 410 and the outcome "unknown"
     And the entry was handed nothing
 
-  Scenario: A refusal of a resubmission does not speak for the first copy
-    The answer to a pen confirmation was lost, and its resubmission meets a full
-    entry. "Not run" would be a lie if the first copy has run.
+  Scenario: A refusal of a resubmission does not cover the first copy
+    An answer was lost, and the resubmission meets an overloaded entry. The outcome
+    "not_run" would be false if the first copy has run.
     Given 1 caller may wait at a time
     When a caller waits and another posts with a key of its own
     Then the caller gets the problem "overloaded" with status 503 and the outcome "unknown"
-    And the caller is told to come back after 1 s
+    And the caller gets Retry-After 1 s
 
   Scenario: A refusal of a request without a key is certain
     Given 1 caller may wait at a time
     When a caller waits and another posts without a key
     Then the caller gets the problem "overloaded" with status 503 and the outcome "not_run"
 
-  Scenario: Callers whose bodies come late can't pass the limit together
-    On a slow line many bodies arrive at one time. Checked at their heads only, all
-    of them would be let in, and the entry would hold far more than it can answer.
+  Scenario: Requests with delayed bodies can't exceed the limit together
+    On a slow link many bodies arrive at the same time. If the limit was checked on
+    the headers only, the entry would accept more requests than the limit.
     Given 1 caller may wait at a time
-    When 5 callers send their heads, and their bodies later
-    Then 1 of them is handed on and 4 are told "overloaded"
+    When 5 callers send their headers, and their bodies later
+    Then 1 of them is submitted and 4 are refused as "overloaded"
 
-  Scenario: A key stands for all that a resubmission must repeat
+  Scenario: The fingerprint covers everything that a resubmission must repeat
     Then changing any of these changes the fingerprint, and a repetition doesn't
       | changed                                      |
       | {"body": "{\"pupil\": 8}"}                   |
@@ -121,14 +121,14 @@
       | {"Cactuswalk-Key": "Dingwall"}               |
       | {"Cactuswalk-Duration-Ms": "5"}              |
       | {"Cactuswalk-First-Sent": "2026-12-02T10:59:30Z"} |
-    And the fingerprint does not hang on the deadline
+    And the fingerprint does not depend on the deadline
 
   Scenario: Every refusal has a status, a remedy and the owner's outcome
-    Then each refusal code is told with each outcome, status, remedy and Retry-After
+    Then each refusal code is returned with each outcome, status, remedy and Retry-After
 
-  Scenario Outline: A mixed-up or partial answer is never delivered
-    A fault elsewhere hands the entry another caller's answer, or one without its
-    last task. A bus must not be sent by half of a route.
+  Scenario Outline: A mismatched or partial answer is never delivered
+    A bug elsewhere gives the entry the answer to another submission, or one without
+    its last task. The caller would act on a wrong or incomplete result.
     Given the entry replies <reply>
     When a caller posts a job of 2 tasks to "booking"
     Then the caller gets the problem "internal" with status 500 and the outcome "unknown"
@@ -141,45 +141,45 @@
       | in another order          |
       | with a task that failed   |
 
-  Scenario: A failed job tells how each task ended, without their bodies
+  Scenario: A failed job returns the outcome of each task, without their bodies
     Given the entry replies that one task failed
     When a caller posts a job of 2 tasks to "booking"
     Then the caller gets the problem "upstream_failed" with status 502 and the outcome "failed"
     And the problem holds nothing of any task's body
 
-  Scenario: A caller that closes its connection is told to the entry
-    A parent gives up and closes the app. Its stop lookup must not hold a slot
-    for nobody while others wait.
+  Scenario: The entry is notified when a caller closes its connection
+    Guards against work that holds a slot after its caller gave up, while other
+    callers wait.
     Given the entry does not reply
     When a caller posts a request and closes its connection
-    Then the entry is told that the caller is gone
+    Then the entry is notified that the caller is gone
 
-  Scenario: A planned stop answers who waits
-    The entry host is replaced while a route is being rebuilt. A cut connection
-    would leave the driver without a route.
+  Scenario: A planned stop answers waiting callers
+    The entry is stopped while callers wait for answers. Closing their connections
+    would lose these answers.
     Given the entry does not reply
-    When the server stops while a caller waits, and the reply comes then
+    When the server stops while a caller waits, and the reply arrives afterwards
     Then the caller gets status 200 and the body {"pupil": 7}
-    And the server takes no more connections
+    And the server accepts no more connections
 
   Scenario: A job in the background
     Given the entry does not reply
     When a caller posts a job of 2 tasks to "booking" and prefers no waiting
-    Then the caller gets status 202 and a place to ask
-    And the state there is "running", and "finished" with the whole answer later
+    Then the caller gets status 202 and the location of the state
+    And the state there is "running", and "finished" with the complete answer later
 
-  Scenario: A refusal is told at once, also to who prefers no waiting
+  Scenario: A refusal is returned directly even with "Prefer: respond-async"
     Given the entry replies that the service is unknown
     When a caller posts a job of 2 tasks to "nobody" and prefers no waiting
     Then the caller gets the problem "unknown_service" with status 404 and the outcome "not_run"
 
-  Scenario: Cancelling, and asking for what is not there
+  Scenario: Cancelling a job, and querying a job that is not found
     Given the entry does not reply
     When a caller posts a job of 2 tasks to "booking" and prefers no waiting
     Then the job can be cancelled by its team, with status 202
-    And another team gets "not_found" for it, and its cancel stops nothing
-    And "no_owner" comes for it while no owner answers
+    And another team gets "not_found" for it, and can't cancel it
+    And its state is "no_owner" while no owner answers
 
-  Scenario: Whatever is sent, nothing malformed is handed on and nothing is a 500
+  Scenario: Arbitrary input never causes a 500 or a malformed submission
     When Hypothesis sends headers, paths and bodies
-    Then no caller got a 500, and all that was handed on is well-formed
+    Then no caller got a 500, and all submissions are well-formed
--- a/features/operators_interface.feature
+++ b/features/operators_interface.feature
@@ -1,55 +1,54 @@
-Feature: The operators' interface tells the truth over HTTP
+Feature: The operators' interface reports true outcomes over HTTP
 
   Background:
     Given an operators' interface over a fake service
 
-  Scenario: Two operators replace one object on the same revision
-    Both read revision 1 and send their change. The second one would undo the
-    first one's without anybody noticing.
+  Scenario: Two operators replace one object based on the same revision
+    Guards against lost updates: both read revision 1, and the second change would
+    silently undo the first.
     Given a team object at revision 1 over the operators' interface
     When ana and ion each replace the team object on revision 1
     Then the operators' interface answers 200 and 412
-    And the second operator is told of ana, revision 2 and how to redo
+    And the second operator gets a conflict with ana, revision 2 and a remedy
 
-  Scenario: A change that names no revision is refused
-    A script sends a whole object without having read it, and would undo
-    whatever came before.
+  Scenario: A change without a revision is refused
+    A script that sends an object without having read it would undo earlier changes.
     Given a team object at revision 1 over the operators' interface
     When the team object is replaced without a precondition
     Then the operators' interface answers 428
     And the fake service holds 1 operators' writes
 
-  Scenario: Labels change by a merge patch and tell their revision
+  Scenario: A merge patch changes labels and returns the revision
     Given a team object at revision 1 over the operators' interface
     When the labels of the team object are patched on revision 1
     Then the operators' interface answers 200
     And the team object has the patched labels and the entity tag of revision 2
 
-  Scenario: A replaced object is not created anew, nor a deleted one changed
-    An operator works on an old reading: meanwhile the object was deleted, or
-    made by somebody else.
+  Scenario: An existing object is not created again, nor a deleted one changed
+    An operator's data is stale: meanwhile the object was deleted or created by
+    another operator.
     Given a team object at revision 1 over the operators' interface
-    When the team object is created anew, deleted and then replaced on revision 1
+    When the team object is created again, deleted and then replaced on revision 1
     Then the operators' interface answers 412, 200 and 412
 
   Scenario: Requests without a valid token
-    Somebody on the network guesses at the operators' port.
-    When each path of the operators' interface is asked without a valid token
+    Guards against unauthorised access from the network.
+    When each path of the operators' interface is requested without a valid token
     Then every operators' request without a token was answered 401 with a problem
 
-  Scenario: Nothing that is sent makes the interface fail or write nonsense
+  Scenario: Arbitrary input never causes a failure or an invalid write
     A script sends broken JSON, wrong types, unknown fields or huge values.
     When Hypothesis sends fuzzed objects to the operators' interface
     Then every fuzzed object was refused with its mistakes or stored as it is read
 
-  Scenario: A value in the service that is no object
-    Somebody wrote into the service by hand. One such key must not keep all
-    other changes from the nodes.
-    When a key that is no object is written into the fake service
-    Then that key is answered with 500 and named by the operators' interface
+  Scenario: A value in the service that is not an object
+    A value was written to the service by hand. It must not prevent all other changes
+    from reaching the nodes.
+    When a key that is not an object is written into the fake service
+    Then the operators' interface returns 500 and the key for it
     And the other objects of the operators are still read from the service
 
-  Scenario: A change's history is bounded and its writes stay known
+  Scenario: The history of an object is bounded, and its writes are recognised
     When an operator changes a team object 30 times over the operators' interface
     Then its history holds the last 20 changes with their revisions
-    And a repeated write of these is recognised and not made again
+    And a repeated write of these is recognised and not applied again
--- a/features/steps/announcement_steps.py
+++ b/features/steps/announcement_steps.py
@@ -144,7 +144,7 @@
     post()
 
 
-@then("each is answered by 200 or a problem, never by 500")
+@then("each is answered with 200 or a problem, never with 500")
 def step_no_500(context):
     for status, body in context.outcomes:
         assert status == 200 or (400 <= status < 500 and body["code"]), (status, body)
@@ -201,13 +201,13 @@
     context.answer = run(context, context.upstream_client.call(effect))
 
 
-@when("it moves to another port while a call to the first is under way")
+@when("it moves to another port while a call to the first is in flight")
 def step_move(context):
     effect = CallUpstream("members/a", 0, 1, "booking", TaskSpec(b"{}"), 9000)
 
     async def call_and_move():
         calling = asyncio.create_task(context.upstream_client.call(effect))
-        # The call has read the port, and has yet to find it closed.
+        # The call has read the port but has not yet found it closed.
         await asyncio.sleep(0)
         context.upstream_client.set_upstream(19, 64)
         context.answer = await calling
@@ -225,7 +225,7 @@
     assert context.announced[-1].announcement is not None
 
 
-@when("the upstream process is told to stop in the middle of a task")
+@when("the upstream process is stopped during a task")
 def step_stop_process(context):
     effect = CallUpstream(
         "members/a", 0, 1, "booking", TaskSpec(b'{"duration_ms": 300}'), 9000
--- a/features/steps/callers_input_steps.py
+++ b/features/steps/callers_input_steps.py
@@ -1,4 +1,4 @@
-"""Steps for bad input, keys, fingerprints, and what Hypothesis sends."""
+"""Steps for invalid input, keys, fingerprints and fuzzing."""
 
 import json
 
@@ -58,7 +58,7 @@
 }
 
 
-@when("a caller sends bad input: {kind}")
+@when("a caller sends invalid input: {kind}")
 def step_bad_input(context, kind):
     if kind == "an unknown path":
         send(context, "POST", "/v2/x", body=OK)
@@ -114,7 +114,7 @@
     assert len({first, *others}) == len(others) + 1
 
 
-@then("the fingerprint does not hang on the deadline")
+@then("the fingerprint does not depend on the deadline")
 def step_deadline_free(context):
     deadline = {"Cactuswalk-Deadline-Ms": "77"}
     assert fingerprint_of(context, deadline) == context.first
@@ -176,7 +176,7 @@
     send_one()
 
 
-@then("no caller got a 500, and all that was handed on is well-formed")
+@then("no caller got a 500, and all submissions are well-formed")
 def step_fuzzed(context):
     assert all(status != 500 for status, _, _ in context.statuses)
     started = sum(status in (200, 202) for status, _, _ in context.statuses)
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what callers are answered."""
+"""Steps for the answers that callers get."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 from features.edges_support import run, until
 
 
-@given("a callers' application before a fake entry")
+@given("a callers' application with a fake entry")
 def step_application(context):
     open_callers(context)
 
@@ -150,12 +150,12 @@
     run(context, end())
 
 
-@then("the caller is told to come back after {seconds:d} s")
+@then("the caller gets Retry-After {seconds:d} s")
 def step_retry_after(context, seconds):
     assert context.headers["Retry-After"] == str(seconds), context.headers
 
 
-@then("each refusal code is told with each outcome, status, remedy and Retry-After")
+@then("each refusal code is returned with each outcome, status, remedy and Retry-After")
 def step_refusals(context):
     for code in RefusalCode:
         for outcome in (Outcome.NOT_RUN, Outcome.FAILED, Outcome.UNKNOWN):
@@ -221,7 +221,7 @@
     return streams
 
 
-@when("{count:d} callers send their heads, and their bodies later")
+@when("{count:d} callers send their headers, and their bodies later")
 def step_late_bodies(context, count):
     async def send_all():
         streams = [await send_head(context) for _ in range(count)]
@@ -239,7 +239,7 @@
     run(context, send_all())
 
 
-@then('{handed:d} of them is handed on and {refused:d} are told "{code}"')
+@then('{handed:d} of them is submitted and {refused:d} are refused as "{code}"')
 def step_late_bodies_refused(context, handed, refused, code):
     assert context.handed == handed, context.handed
     told = [f'"code":"{code}"'.encode() in raw for raw in context.raw_answers]
@@ -258,13 +258,13 @@
     run(context, post_and_close())
 
 
-@then("the entry is told that the caller is gone")
+@then("the entry is notified that the caller is gone")
 def step_gone(context):
     (event,) = context.entry.events
     assert [gone.waiter for gone in context.entry.gone] == [event.waiter]
 
 
-@when("the server stops while a caller waits, and the reply comes then")
+@when("the server stops while a caller waits, and the reply arrives afterwards")
 def step_stop(context):
     async def stop_and_reply():
         async with aiohttp.ClientSession() as session:
@@ -292,12 +292,12 @@
     return False
 
 
-@then("the server takes no more connections")
+@then("the server accepts no more connections")
 def step_no_connections(context):
     assert context.refused
 
 
-@then("the caller gets status 202 and a place to ask")
+@then("the caller gets status 202 and the location of the state")
 def step_accepted(context):
     assert context.status == 202, context.body
     assert context.headers["Preference-Applied"] == "respond-async"
@@ -320,7 +320,7 @@
     return state
 
 
-@then('the state there is "{first}", and "{last}" with the whole answer later')
+@then('the state there is "{first}", and "{last}" with the complete answer later')
 def step_states(context, first, last):
     for answered, name in ((False, first), (True, last)):
         context.entry.state = state_of(context, answered)
@@ -341,7 +341,7 @@
     assert cancelled == [event.job.submission], cancelled
 
 
-@then('another team gets "{code}" for it, and its cancel stops nothing')
+@then('another team gets "{code}" for it, and can\'t cancel it')
 def step_other_team(context, code):
     for method in ("GET", "DELETE"):
         send(context, method, context.location, token=OTHER_TOKEN)
@@ -349,7 +349,7 @@
     assert len(context.entry.cancelled) == 1
 
 
-@then('"{code}" comes for it while no owner answers')
+@then('its state is "{code}" while no owner answers')
 def step_no_owner(context, code):
     context.entry.state = None
     send(context, "GET", context.location)
--- a/features/steps/operators_interface_steps.py
+++ b/features/steps/operators_interface_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the operators' interface, asked as HTTP clients do."""
+"""Steps that send HTTP requests to the operators' interface."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 def ask(context, method, path, token=TOKEN, body=None, **headers):
-    """Send one request; keep and return its status, fields and headers."""
+    """Send one request; store and return its status, fields and headers."""
 
     async def talk():
         sent = {name.replace("_", "-"): text for name, text in headers.items()}
@@ -62,7 +62,7 @@
     assert statuses == expected, context.answers
 
 
-@then("the second operator is told of ana, revision 2 and how to redo")
+@then("the second operator gets a conflict with ana, revision 2 and a remedy")
 def step_told(context):
     _, fields, headers = context.answers[-1]
     assert headers["Content-Type"] == "application/problem+json"
@@ -88,14 +88,14 @@
     assert headers["ETag"] == '"2"'
 
 
-@when("the team object is created anew, deleted and then replaced on revision 1")
+@when("the team object is created again, deleted and then replaced on revision 1")
 def step_anew(context):
     ask(context, "PUT", PATH, body=team(weight=2), If_None_Match="*")
     ask(context, "DELETE", PATH, If_Match='"1"')
     ask(context, "PUT", PATH, body=team(weight=2), If_Match='"1"')
 
 
-@when("each path of the operators' interface is asked without a valid token")
+@when("each path of the operators' interface is requested without a valid token")
 def step_no_token(context):
     paths = ("objects", "objects/team/a", "objects/team/a/history", "status")
     for path in (*paths, "explain", "in-force?revision=1"):
@@ -116,7 +116,7 @@
 
 
 def fuzzed():
-    """Return a strategy of objects that are nearly right, and of bytes."""
+    """Return a strategy for almost valid objects and for random bytes."""
     odd = st.recursive(
         st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=9),
         lambda inner: (
@@ -181,7 +181,7 @@
     assert context.fuzzed["refused"] > 50, context.fuzzed
 
 
-@when("a key that is no object is written into the fake service")
+@when("a key that is not an object is written into the fake service")
 def step_garbage(context):
     ask(context, "PUT", PATH, body=team(), If_None_Match="*")
     context.server.service.put("config/team/odd", b"{")
@@ -189,7 +189,7 @@
     ask(context, "GET", "/operator/objects/team/odd?fresh=1")
 
 
-@then("that key is answered with 500 and named by the operators' interface")
+@then("the operators' interface returns 500 and the key for it")
 def step_garbage_named(context):
     status, fields, _ = context.answers[0]
     assert (status, fields["code"]) == (500, "unreadable_value"), fields
@@ -222,7 +222,7 @@
     assert revisions == list(range(31, 11, -1)), revisions
 
 
-@then("a repeated write of these is recognised and not made again")
+@then("a repeated write of these is recognised and not applied again")
 def step_recognised(context):
     for number in (29, 20, 12):
         status, fields, _ = ask(
--- a/features/steps/templates_steps.py
+++ b/features/steps/templates_steps.py
@@ -1,4 +1,4 @@
-"""Steps for job templates that callers name."""
+"""Steps for job templates that callers refer to."""
 
 from behave import given, then, when
 
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -201,7 +201,7 @@
 
 
 def serve_bytes(context, payload):
-    """Answer each connection with raw bytes; ``payload()`` gives them."""
+    """Answer each connection with the raw bytes that ``payload()`` returns."""
     context.asked = 0
 
     async def handle(reader, writer):
@@ -236,12 +236,12 @@
     serve_bytes(context, lambda: context.payload)
 
 
-@then("the odd upstream was asked {count:d} time")
+@then("the malformed upstream was called {count:d} time")
 def step_asked(context, count):
     assert context.asked == count, context.asked
 
 
-@then("an answer counts only when all of its declared length came")
+@then("an answer counts only if its full declared length was received")
 def step_whole_only(context):
     @hypothesis_settings(
         max_examples=100, derandomize=True, database=None, deadline=None
--- a/features/upstream_announcements.feature
+++ b/features/upstream_announcements.feature
@@ -1,4 +1,4 @@
-Feature: Upstreams announce themselves to the agent beside them
+Feature: Upstreams announce themselves to the agent on their host
 
   Scenario: An announcement and its renewals are one event
     Given an agent's announcement application
@@ -18,8 +18,8 @@
       | service | booking |
 
   Scenario: An upstream withdraws
-    A planned stop of the booking service. New work sent after this would be cut
-    off in the middle of a booking.
+    An upstream withdraws at a planned stop. New work sent afterwards would be
+    interrupted.
     Given an agent's announcement application
     When the upstream announces {"service": "booking", "port": 9, "slots": 8}
     And the upstream withdraws twice
@@ -27,13 +27,13 @@
     And the last announcement event is a withdrawal
 
   Scenario: An upstream that stops renewing is gone
-    The upstream's process hangs without closing its port. Without the expiry it
-    would be given work that nobody answers until somebody notices.
+    The upstream hangs without closing its port. Without the expiry it would be sent
+    work that it never answers.
     Given an agent's announcement application that expires after 50 ms
     When the upstream announces {"service": "booking", "port": 9, "slots": 8}
     Then a withdrawal comes without a request
 
-  Scenario Outline: A wrong announcement changes nothing
+  Scenario Outline: An invalid announcement changes nothing
     Given an agent's announcement application
     When the upstream announces <body>
     Then the announcement is refused as "malformed_announcement"
@@ -48,31 +48,30 @@
       | {"service": "booking", "port": 9, "slots": 8, "labels": []} |
       | no JSON                                                     |
 
-  Scenario: Whatever is announced is taken or refused
+  Scenario: Arbitrary announcements are accepted or rejected, never a 500
     Given an agent's announcement application
     When Hypothesis announces bodies
-    Then each is answered by 200 or a problem, never by 500
+    Then each is answered with 200 or a problem, never with 500
 
-  Scenario: Health and readiness are told apart
+  Scenario: Health and readiness are reported separately
     Given an agent's announcement application
     Then the agent is alive and ready
     When the agent gives the reason "joining the cell"
     Then the agent is alive and not ready because of "joining the cell"
 
-  Scenario: An upstream in a process of its own leaves as planned
-    The platform stops an upstream in the middle of a task. It withdraws at its
-    agent first, finishes the task, and only then exits.
+  Scenario: An upstream process finishes its task at a planned stop
+    An upstream that is stopped during a task withdraws at its agent first, finishes
+    the task, and only then exits.
     Given an agent's announcement application
     And an upstream stand-in process that announces itself there
-    When the upstream process is told to stop in the middle of a task
+    When the upstream process is stopped during a task
     Then the last announcement event is a withdrawal
     And the task of the stopped upstream was answered and the process exited with 0
     And the file of the upstream process records one start and one end
 
-  Scenario: An upstream that was killed is gone with the first call it refuses
-    The booking service crashes and can't withdraw. Until its announcement expired,
-    each request that was placed there would find a closed port, and its caller
-    would wait for another try.
+  Scenario: A killed upstream counts as gone once it refuses a call
+    A crashed upstream can't withdraw. Until its announcement expires, each request
+    placed there would find a closed port and have to be retried.
     Given an agent's announcement application
     And an upstream stand-in process that announces itself there
     When the upstream process is killed and called once
@@ -81,11 +80,11 @@
     When an upstream stand-in process announces itself there again
     Then the last announcement event is no withdrawal
 
-  Scenario: An earlier port that refuses says nothing of the present one
-    An upstream is replaced by one at another port while a call to the old port is
-    still under way. Taken for gone because of it, the new one would get no work.
+  Scenario: A refusal by an earlier port does not affect the current upstream
+    An upstream is replaced by one on another port while a call to the old port is in
+    flight. If its refusal counted for the new upstream, that would get no work.
     Given an agent's announcement application
     When the upstream announces {"service": "booking", "port": 9, "slots": 8}
-    And it moves to another port while a call to the first is under way
+    And it moves to another port while a call to the first is in flight
     Then the call was certainly not sent
     And the last announcement event is no withdrawal
--- a/features/upstream_calls.feature
+++ b/features/upstream_calls.feature
@@ -1,26 +1,26 @@
-Feature: Calls to the upstream are sent once and believed only when whole
+Feature: Calls to the upstream are sent once, and only complete answers count
 
-  Scenario: A whole answer comes back
+  Scenario: A complete answer is returned
     Given an upstream stand-in that the client calls
     When task 3 of "vets/a" is called at the upstream
     Then the upstream call is "answered" with status 200 and the digest of its input
     And the upstream has started it 1 time
 
-  Scenario: An upstream that is not there was not sent anything
-    The upstream's process has died and its port refuses connections. Only here
-    may the owner place a pen confirmation elsewhere and nobody books it twice.
+  Scenario: A refused connection means that nothing was sent
+    The upstream's process has died. Only in this case can the owner start the task
+    elsewhere without the risk that it runs twice.
     Given an upstream client whose port refuses connections
     When task 0 of "vets/a" is called at the upstream
     Then the upstream call is "not_sent"
 
-  Scenario: Before its announcement an upstream gets nothing
+  Scenario: An upstream gets no calls before its announcement
     Given an upstream client without an upstream
     When task 0 of "vets/a" is called at the upstream
     Then the upstream call is "not_sent"
 
-  Scenario Outline: What is no whole answer is uncertain, and never sent again
-    The upstream breaks in the middle of a seat check. It may have assigned the
-    seat, so nobody may say "not run", and the client must not ask again.
+  Scenario Outline: A call without a complete answer is uncertain and not retried
+    The upstream fails during a task and may have done the work, so the outcome must
+    not be "not_run", and the client must not send the call again.
     Given an upstream stand-in that the client calls
     And the upstream has the fault <fault>
     When task 0 of "schools/a" is called at the upstream within 1000 ms
@@ -35,15 +35,15 @@
       | {"late_ms": 5000} | 1      |
       | {"frozen": true}  | 0      |
 
-  Scenario: An upstream that fails everything gives whole answers
+  Scenario: Failures of the upstream are complete answers
     Given an upstream stand-in that the client calls
     And the upstream has the fault {"fail": true}
     When task 0 of "schools/a" is called at the upstream
     Then the upstream call is "answered" with status 500
 
   Scenario Outline: A second answer does not reach the next request
-    An upstream with a fault answers twice. On a shared connection the next
-    caller would read it as its own: one family gets another's booking.
+    A faulty upstream answers twice. On a reused connection the next request would
+    read the second answer as its own.
     Given an upstream stand-in that <names> the request in its answers
     And the upstream has the fault {"twice": true}
     When tasks 0 to 19 of "members/a" are called at the upstream in turn
@@ -55,26 +55,26 @@
       | names         |
       | does not name |
 
-  Scenario: Connections are reused where answers name their request
+  Scenario: Connections are reused if answers identify their request
     Given an upstream stand-in that names the request in its answers
     When tasks 0 to 19 of "members/a" are called at the upstream in turn
     Then each upstream call got the digest of its own input
     And the upstream client opened 1 connection
 
-  Scenario: An answer that names another request is not believed
-    A mixed-up upstream answers a vet with the record of another animal.
+  Scenario: An answer that does not identify its request is rejected
+    Guards against delivering an answer to the wrong request.
     Given an upstream stand-in that names the request in its answers
     And the upstream client expects the names from one that has none
     When task 0 of "vets/a" is called at the upstream
     Then the upstream call is "uncertain"
 
-  Scenario Outline: Odd answers of an upstream
-    A load balancer or a half-finished rollout answers in the upstream's place.
-    A redirect that was followed would run the task again.
+  Scenario Outline: Malformed or unexpected answers of an upstream
+    A load balancer or a partial rollout may answer instead of the upstream.
+    Following a redirect would run the task again.
     Given an upstream that sends <bytes> and closes
     When task 0 of "schools/a" is called at the upstream
     Then the upstream call is "<outcome>"
-    And the odd upstream was asked 1 time
+    And the malformed upstream was called 1 time
 
     Examples:
       | bytes                                                              | outcome   |
@@ -85,18 +85,18 @@
       | HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole                  | answered  |
       | SSH-2.0-OpenSSH\r\n                                                | uncertain |
 
-  Scenario: Whatever comes is whole or uncertain
+  Scenario: Arbitrary answers are complete or uncertain
     Given an upstream that sends what Hypothesis chooses
-    Then an answer counts only when all of its declared length came
+    Then an answer counts only if its full declared length was received
 
-  Scenario: An answer above the limit has run and can't be delivered
+  Scenario: The task of an answer above the limit has run but its answer is lost
     Given an upstream that answers 5 MB
     When task 0 of "schools/a" is called at the upstream
     Then the upstream call is "answered" with status 502
 
   Scenario: No call goes beyond the announced connections
-    Without the guard a burst would open a connection a task, and the upstream
-    would drop some of them with work half done.
+    Without the limit a burst would open one connection per task, and the upstream
+    would drop some of them with the work partly done.
     Given an upstream stand-in that the client calls over 2 connections
     When 3 tasks of "schools/b" of 100 ms are called at the upstream at once
     Then 2 upstream calls are "answered" and 1 is "not_sent"
--- a/src/cactuswalk/http/__init__.py
+++ b/src/cactuswalk/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers, upstreams and operators."""
+"""HTTP interfaces for callers, upstreams and operators."""
 
 from cactuswalk.http.announcements import AnnounceBody, make_announce_application
 from cactuswalk.http.callers import EntryCallables, make_callers_application
--- a/src/cactuswalk/http/announcements.py
+++ b/src/cactuswalk/http/announcements.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP on the loopback, where the upstream announces itself."""
+"""HTTP interface of the agent on loopback, where the upstream announces itself."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,27 +17,27 @@
 
 __all__ = ["AnnounceBody", "UsageBody", "make_announce_application"]
 
-# An upstream renews its announcement twice a second; after three missed ones it is
-# taken for gone. The goal is two seconds from its death to the last start that is
-# sent to it: the rest is left for the word to reach the owner. A renewal costs
-# about 0.3 ms of processor time at both ends, on the loopback.
+# An upstream renews its announcement every 500 ms; after three missed renewals it is
+# considered gone. The goal is at most two seconds from its death to the last start
+# sent to it; the remaining 250 ms are for the owner to learn of it. A renewal costs
+# about 0.3 ms of CPU time on both ends together, on loopback.
 RENEWAL_INTERVAL_MS = 500
 ANNOUNCEMENT_TTL_SECONDS = 1.75
 
-# An announcement is a few hundred bytes.
+# A typical announcement is a few hundred bytes.
 MAX_ANNOUNCEMENT_BYTES = 64 << 10
 
 
-# As names in settings: they go into selectors, metric names and logs.
+# Same pattern as names in settings: used in selectors, metric names and logs.
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[^\W_][\w-]{0,62}$")]
 
 
 class AnnounceBody(msgspec.Struct, forbid_unknown_fields=True):
-    """What an upstream says of itself.
+    """Body of an upstream's announcement.
 
-    :param port: where it takes tasks, on the loopback.
-    :param ready: False to get no new work and still renew.
-    :param echoes: its answers repeat ``Cactuswalk-Submission``, ``-Task`` and
+    :param port: loopback port on which the upstream accepts tasks.
+    :param ready: False to receive no new work while still renewing.
+    :param echoes: responses repeat ``Cactuswalk-Submission``, ``-Task`` and
         ``-Attempt``, so that connections can be reused.
     """
 
@@ -53,9 +53,9 @@
 
 
 class TaskUsageBody(msgspec.Struct, forbid_unknown_fields=True):
-    """What one running task uses, named by the headers of its request.
+    """Memory use of one running task, identified by the headers of its request.
 
-    :param checkpoints: it can be saved and go on later.
+    :param checkpoints: the task can be saved and resumed later.
     """
 
     submission: Annotated[str, msgspec.Meta(min_length=1, max_length=512)]
@@ -66,15 +66,15 @@
 
 
 class UsageBody(msgspec.Struct, forbid_unknown_fields=True):
-    """What an upstream reports about once a second: all tasks that it runs."""
+    """Usage report of all running tasks, sent by an upstream about once a second."""
 
     tasks: list[TaskUsageBody]
 
 
 class UpstreamPresence:
-    """What is known of the upstream beside this agent.
+    """Tracks the presence of the upstream on this agent's host.
 
-    :param on_event: told of each change, never of a mere renewal.
+    :param on_event: called on each change, not on a renewal without changes.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         client.on_refused = self.withdraw
 
     def announce(self, body: AnnounceBody) -> None:
-        """Take an announcement or its renewal."""
+        """Process an announcement or its renewal."""
         self.cancel_expiry()
         loop = asyncio.get_running_loop()
         self.expiry_timer = loop.call_later(self.ttl_seconds, self.withdraw)
@@ -106,9 +106,9 @@
         self.on_event(Announced(self._announcement(body)))
 
     def withdraw(self) -> None:
-        """Take the upstream for leaving or gone.
+        """Mark the upstream as withdrawn or gone.
 
-        Its address is kept: what it still runs has to be stopped there.
+        Its address is kept, since tasks that it still runs may have to be stopped.
         """
         self.cancel_expiry()
         if self.body is None:
@@ -117,14 +117,14 @@
         self.on_event(Announced(None))
 
     def cancel_expiry(self) -> None:
-        """Forget the timer."""
+        """Cancel the expiry timer if one is set."""
         if self.expiry_timer is not None:
             self.expiry_timer.cancel()
             self.expiry_timer = None
 
     def _announcement(self, body: AnnounceBody) -> Announcement:
-        # The agent's own labels win: an upstream can't move itself to where a
-        # selector lets more work land.
+        # The agent's own labels take precedence: an upstream must not override
+        # them to match selectors that would send it more work.
         return Announcement(
             worker=self.settings.worker,
             service=body.service,
@@ -151,10 +151,12 @@
 ) -> web.Application:
     """Return the HTTP application of an agent.
 
-    :param client: is told where the upstream takes tasks.
-    :param on_event: called in the loop with each ``Announced`` and ``UsageReported``.
-    :param not_ready: the reasons why this agent is not ready; none if it is.
-    :param ttl_seconds: without a renewal, until the upstream is gone.
+    :param client: receives the port on which the upstream accepts tasks.
+    :param on_event: called in the event loop with each ``Announced`` and
+        ``UsageReported``.
+    :param not_ready: returns the reasons why this agent is not ready; empty if it is.
+    :param ttl_seconds: time without a renewal after which the upstream is
+        considered gone.
     """
     presence = UpstreamPresence(settings, client, on_event, ttl_seconds)
     decoder = msgspec.json.Decoder(AnnounceBody)
@@ -165,7 +167,8 @@
             body = decoder.decode(await request.read())
         except (msgspec.MsgspecError, RecursionError) as error:
             problem = Problem(
-                InputCode.MALFORMED_ANNOUNCEMENT, f"not an announcement: {error}"
+                InputCode.MALFORMED_ANNOUNCEMENT,
+                f"the body is not a valid announcement: {error}",
             )
             return problem_response(problem)
         presence.announce(body)
@@ -176,7 +179,8 @@
             body = usage_decoder.decode(await request.read())
         except (msgspec.MsgspecError, RecursionError) as error:
             problem = Problem(
-                InputCode.MALFORMED_USAGE, f"not a report of use: {error}"
+                InputCode.MALFORMED_USAGE,
+                f"the body is not a valid usage report: {error}",
             )
             return problem_response(problem)
         if settings.guard:
--- a/src/cactuswalk/http/answers.py
+++ b/src/cactuswalk/http/answers.py
@@ -1,4 +1,4 @@
-"""Turn replies into HTTP responses: a whole answer, or the truth about it."""
+"""Convert replies to HTTP responses: a complete answer or a problem."""
 
 import base64
 
@@ -29,7 +29,7 @@
 def answer_submission(job: Job, reply: Reply) -> web.Response:
     """Return the response to the caller of a submission.
 
-    :raises InvariantError: if the reply is not the whole answer to this job.
+    :raises InvariantError: if the reply is not the complete answer to this job.
     """
     key = job.submission.partition("/")[2]
     headers = {
@@ -49,36 +49,39 @@
 
 
 def check_complete(job: Job, reply: Reply) -> None:
-    """Raise unless the reply has a result of every task, in order, all done.
+    """Raise ``InvariantError`` unless the reply has all tasks, in order, all done.
 
-    A mixed-up or partial answer would give one caller another's seat or a
-    route without its last stop. Nothing should let one come this far.
+    Guards against delivering another caller's answer or a partial one, such as a
+    route without its last stop. No known path leads to such a reply.
     """
-    places = [result.index for result in reply.results]
+    indexes = [result.index for result in reply.results]
     done = all(result.outcome is TaskOutcome.DONE for result in reply.results)
-    wanted = list(range(len(job.tasks)))
-    if reply.submission == job.submission and places == wanted and done:
+    expected_indexes = list(range(len(job.tasks)))
+    if reply.submission == job.submission and indexes == expected_indexes and done:
         return
     raise InvariantError(
-        f"the answer to {job.submission} is not whole: {reply.submission}, "
-        f"{len(places)} of {len(wanted)} tasks",
-        "Report this with the entry's and the owner's logs.",
+        f"the answer to {job.submission} is incomplete or mismatched: it is for "
+        f"{reply.submission} and has {len(indexes)} of {len(expected_indexes)} tasks",
+        "Report this as a bug, with the logs of the entry and of the owner.",
     )
 
 
 def describe_problem(
     key: str, outcome: Outcome, results: list[TaskResult], refusal: Refusal | None
 ) -> Problem:
-    """Return the problem that tells why there is no answer.
+    """Return the problem that explains why there is no answer.
 
-    Bodies are left out: part of an answer must not pass for one.
+    Task bodies are left out, so that a partial answer can't be taken for a
+    complete one.
     """
     if refusal is not None:
         problem = make_refusal_problem(outcome, refusal)
     elif outcome is Outcome.FAILED:
-        problem = Problem(RefusalCode.UPSTREAM_FAILED.value, "a task failed", outcome)
+        problem = Problem(
+            RefusalCode.UPSTREAM_FAILED.value, "a task of the job failed", outcome
+        )
     else:
-        problem = Problem(InputCode.INTERNAL.value, "no reason was given", outcome)
+        problem = Problem(InputCode.INTERNAL.value, "the owner gave no reason", outcome)
     problem.submission = key
     if len(results) == 1:
         problem.upstream_status = results[0].status
@@ -95,7 +98,7 @@
 
 
 def describe_answer(key: str, results: list[TaskResult]) -> dict[str, object]:
-    """Return the whole answer to a job, to be encoded as JSON."""
+    """Return the complete answer to a job as a JSON-encodable object."""
     return {
         "submission": key,
         "outcome": Outcome.ANSWERED.value,
@@ -104,7 +107,7 @@
 
 
 def describe_result(result: TaskResult) -> dict[str, object]:
-    """Return one result: its body as JSON if it is, else as base64."""
+    """Return one result; its body is embedded as JSON if valid, else as base64."""
     described: dict[str, object] = {"index": result.index, "status": result.status}
     try:
         result.body.decode("utf-8")
@@ -115,7 +118,7 @@
 
 
 def describe_state(key: str, state: JobState) -> dict[str, object]:
-    """Return where a submission stands, to be encoded as JSON."""
+    """Return the state of a submission as a JSON-encodable object."""
     described: dict[str, object] = {
         "submission": key,
         "state": _state_name(state),
@@ -145,7 +148,7 @@
 
 
 def _pass_answer_on(result: TaskResult, headers: dict[str, str]) -> web.Response:
-    """Pass the upstream's answer on as it is."""
+    """Return the upstream's response unchanged."""
     status = result.status if 200 <= result.status < 600 else 200
     if status in (204, 304):
         return web.Response(status=status, headers=headers)
--- a/src/cactuswalk/http/bodies.py
+++ b/src/cactuswalk/http/bodies.py
@@ -1,4 +1,4 @@
-"""Read the bodies of submissions, and bind a key to all that it stands for."""
+"""Read bodies of submissions and compute the fingerprints of jobs."""
 
 import asyncio
 from typing import Annotated
@@ -26,13 +26,13 @@
     "read_request_task",
 ]
 
-# A caller that sends its body slower than this holds a place for nothing: even
-# a body at the limit takes well under a second at 1 ms latency.
+# A slower caller would hold a request slot without use: even a body of the maximum
+# size takes well under a second at 1 ms latency.
 BODY_TIMEOUT_SECONDS = 10.0
 
 
-# The last two are what common clients say of a body that nobody has named a type
-# for (curl --data, aiohttp with bytes); it has to be JSON all the same.
+# The last two are the defaults of common clients (aiohttp with bytes, curl --data).
+# The body has to be JSON in any case.
 ACCEPTED_TYPES = frozenset(
     {
         "application/json",
@@ -43,7 +43,7 @@
 
 
 class JobTask(msgspec.Struct, forbid_unknown_fields=True):
-    """A task as a caller writes it; the body is kept byte for byte."""
+    """A task in a submitted job; its body is passed on byte for byte."""
 
     body: msgspec.Raw
     duration_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_DURATION_MS)] = 0
@@ -64,41 +64,43 @@
 
 
 async def read_body(request: web.Request) -> bytes:
-    """Return the whole body of a request that says it is JSON.
+    """Return the complete body of a request of an accepted content type.
 
-    :raises ProblemError: if it is something else, too long or not whole.
+    :raises ProblemError: if the content type or encoding is not accepted, or the
+        body is too slow or incomplete.
     """
     if request.headers.get("Content-Encoding", "identity").lower() != "identity":
         raise make_problem_error(
-            InputCode.UNSUPPORTED_MEDIA_TYPE, "the body is encoded"
+            InputCode.UNSUPPORTED_MEDIA_TYPE, "the body has a Content-Encoding"
         )
     if request.content_type not in ACCEPTED_TYPES:
         raise make_problem_error(
-            InputCode.UNSUPPORTED_MEDIA_TYPE, f"the body is {request.content_type}"
+            InputCode.UNSUPPORTED_MEDIA_TYPE,
+            f"the content type is {request.content_type}",
         )
     try:
         async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             return await request.read()
     except TimeoutError:
         raise make_problem_error(
-            InputCode.INCOMPLETE_BODY, "the body came too slowly"
+            InputCode.INCOMPLETE_BODY, "the body was not received in time"
         ) from None
     except web.RequestPayloadError as error:
         raise make_problem_error(
-            InputCode.INCOMPLETE_BODY, "the body is broken"
+            InputCode.INCOMPLETE_BODY, "the body could not be read completely"
         ) from error
 
 
 def read_request_task(
     body: bytes, duration_ms: int, memory_mb: int, accelerators: int
 ) -> TaskSpec:
-    """Return the one task of a request whose body is one JSON value."""
+    """Return the task of a single request; the body must be one JSON value."""
     _decode(_any_decoder, body)
     return TaskSpec(body, duration_ms, memory_mb, accelerators)
 
 
 def read_job(body: bytes) -> tuple[list[TaskSpec], str, str]:
-    """Return the tasks, the selector and the key of a job."""
+    """Return the tasks, the selector and the affinity key of a job."""
     job = _decode(_job_decoder, body)
     if not job.tasks:
         raise make_problem_error(InputCode.EMPTY_JOB, "the job has no tasks")
@@ -115,14 +117,14 @@
 
 def _decode(decoder: msgspec.json.Decoder, body: bytes):
     try:
-        # The decoder passes over parts that it only copies; a stray byte in one
-        # would fail at the upstream, after the start.
+        # The decoder doesn't validate parts that it only copies (msgspec.Raw);
+        # invalid UTF-8 there would fail at the upstream, after the start.
         body.decode("utf-8")
         return decoder.decode(body)
     except msgspec.ValidationError as error:
         raise make_problem_error(InputCode.MALFORMED_JOB, str(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        detail = f"the body is no JSON: {error}"
+        detail = f"the body is not valid JSON: {error}"
         raise make_problem_error(InputCode.MALFORMED_JSON, detail) from error
     except RecursionError as error:
         detail = "the body is nested too deeply"
@@ -130,13 +132,13 @@
 
 
 def compute_fingerprint(job: Job, first_sent_ms: int, template: str = "") -> bytes:
-    """Return a digest of all that a resubmission has to repeat.
+    """Return a digest of everything that a resubmission has to repeat.
 
-    The deadline is left out, since less of it is left each time; the caller is,
-    since a colleague of the team may ask for the same answer. A changed
-    ``first_sent_ms`` would make an old submission young, so it is in. A template
-    counts by its name, before it is filled in: its operators may change it between
-    a submission and its repetition.
+    The deadline is excluded, since the remaining time shrinks with each attempt,
+    and so is the caller, since another caller of the team may ask for the same
+    answer. ``first_sent_ms`` is included, since changing it would make an old
+    submission look new. A template is included by name, before it is applied:
+    operators may change it between a submission and its resubmission.
     """
     flags = f"{job.idempotent:d}{job.request:d}{first_sent_ms}"
     parts = [job.service, job.selector, job.key, flags]
--- a/src/cactuswalk/http/callers.py
+++ b/src/cactuswalk/http/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface of an entry; docs/callers.md describes it."""
+"""HTTP interface of an entry for callers, as described in docs/callers.md."""
 
 import asyncio
 import hashlib
@@ -50,25 +50,25 @@
 
 __all__ = ["EntryCallables", "make_callers_application"]
 
-# With "Prefer: respond-async" and no wait of the caller's: long enough for a
-# refusal by the owner, a round trip away, to be told at once.
+# Used for "Prefer: respond-async" without a wait: long enough for a refusal by the
+# owner, one round trip away, to be returned directly.
 DEFAULT_ASYNC_WAIT_SECONDS = 0.05
 
 OVERLOADED_RETRY_MS = 1_000
 
 
 class EntryCallables(msgspec.Struct):
-    """What the application object of an entry does for its callers.
-
-    :param submit: hands a job in and waits for its one reply; cancelled where
-        nobody waits any more.
-    :param caller_gone: tells that nobody waits at a waiter now.
-    :param cancel: stops a submission.
-    :param query: asks where a submission stands, at the owner of a service or,
-        for an empty one, at all; None if no owner has answered.
-    :param not_ready: reasons why this entry is not ready; none if it is.
-    :param count: adds one to a counter.
-    :param find_template: finds a job template that is in force here.
+    """Operations of an entry that the callers' interface uses.
+
+    :param submit: submits a job and waits for its single reply; cancelled when the
+        caller no longer waits.
+    :param caller_gone: reports that a waiter's caller has disconnected.
+    :param cancel: cancels a submission.
+    :param query: returns the state of a submission from the owner of a service or,
+        if the service is empty, from any owner; None if no owner has answered.
+    :param not_ready: returns the reasons why this entry is not ready; empty if it is.
+    :param count: increments a counter.
+    :param find_template: returns a job template that is in force on this entry.
     """
 
     submit: Callable[[CallerSubmitted], Awaitable[Reply]]
@@ -81,7 +81,7 @@
 
 
 class CallerHandler:
-    """The state of the callers' interface: who waits, and what serves them."""
+    """Handles the requests of callers and tracks those that are waiting."""
 
     def __init__(
         self,
@@ -99,9 +99,10 @@
         self.background: set[asyncio.Task] = set()
 
     def authenticate(self, request: web.Request) -> CallerIdentity:
-        """Return whom the request's token stands for.
+        """Return the caller identified by the request's bearer token.
 
-        Looking a digest up takes no longer for a token that is nearly right.
+        Tokens are looked up by digest, so the lookup time reveals nothing about
+        how close a guessed token is.
         """
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
         found = None
@@ -109,12 +110,14 @@
             encoded = token.strip().encode("utf-8", "surrogateescape")
             found = self.settings.callers.get(hashlib.sha256(encoded).hexdigest())
         if found is None:
-            problem = Problem(InputCode.UNAUTHENTICATED, "no token, or an unknown one")
+            problem = Problem(
+                InputCode.UNAUTHENTICATED, "the bearer token is missing or unknown"
+            )
             raise ProblemError(problem, {"WWW-Authenticate": "Bearer"})
         return found
 
     async def submit_request(self, request: web.Request) -> web.Response:
-        """Handle a single request."""
+        """Handle a request that consists of a single task."""
         arrived_at = time.monotonic()
         identity = self.authenticate(request)
         reject_unknown_headers(request, REQUEST_HEADERS)
@@ -167,13 +170,13 @@
         return await self._wait_in_background(event, wait_seconds)
 
     async def show_state(self, request: web.Request) -> web.Response:
-        """Tell where a submission stands."""
+        """Return the state of a submission."""
         identity = self.authenticate(request)
         key, state = await self._query(identity, request)
         return _state_response(200, key, state)
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Stop a submission: what has not started never will."""
+        """Cancel a submission; tasks that have not started never will."""
         identity = self.authenticate(request)
         key, state = await self._query(identity, request)
         if state.answer is not None:
@@ -204,11 +207,15 @@
         deadline_ms: int,
         arrived_at: float,
     ) -> CallerSubmitted:
-        """Return the event for a job; its body's time is taken off the deadline."""
+        """Return the event for a job; time spent reading the body counts.
+
+        The time since ``arrived_at`` is subtracted from the deadline.
+        """
         remaining_ms = deadline_ms - int((time.monotonic() - arrived_at) * 1000)
         if remaining_ms <= 0:
             raise make_problem_error(
-                RefusalCode.DEADLINE_PASSED, "the deadline passed while the body came"
+                RefusalCode.DEADLINE_PASSED,
+                "the deadline passed while the body was received",
             )
         identifier, created_ms = key.key, key.created_ms
         if key.minted:
@@ -228,20 +235,20 @@
             return
         problem = Problem(
             RefusalCode.OVERLOADED.value,
-            f"{self.waiting_count} requests wait at this entry",
+            f"{self.waiting_count} requests are waiting at this entry",
             retry_after_ms=OVERLOADED_RETRY_MS,
         )
         raise ProblemError(problem)
 
     async def _submit_and_wait(self, event: CallerSubmitted) -> web.Response:
-        # Again, since others may have come while the body was read.
+        # Checked again, since other requests may have arrived while the body was read.
         self._reject_overload()
         self.waiting_count += 1
         try:
             reply = await self.entry.submit(event)
         except asyncio.CancelledError:
-            # The caller has closed its connection; without this word its work
-            # would go on and hold a slot for nobody.
+            # The caller closed its connection; without this event its work would
+            # continue and hold a slot unnecessarily.
             self.entry.caller_gone(CallerDisconnected(event.waiter))
             raise
         finally:
@@ -293,7 +300,7 @@
         if state is None:
             problem = Problem(
                 RefusalCode.NO_OWNER.value,
-                "no owner has answered",
+                "no owner answered the query",
                 Outcome.UNKNOWN,
                 retry_after_ms=OVERLOADED_RETRY_MS,
             )
@@ -304,11 +311,11 @@
 
 
 def read_service(request: web.Request) -> str:
-    """Return the service in the path; whether it exists the entry knows."""
+    """Return the service name in the path; the entry checks whether it exists."""
     service = request.match_info["service"]
     if not is_name(service):
         raise make_problem_error(
-            RefusalCode.UNKNOWN_SERVICE, "the path names no service"
+            RefusalCode.UNKNOWN_SERVICE, "the path has no valid service name"
         )
     return service
 
@@ -321,8 +328,9 @@
 ) -> web.Application:
     """Return the HTTP application for callers.
 
-    :param wall_clock: seconds since the Unix epoch, for births of keys only.
-    :param generator: source of minted identifiers.
+    :param wall_clock: returns seconds since the Unix epoch; used only for the
+        creation times of idempotency keys.
+    :param generator: random generator for identifiers that the entry generates.
     """
     handler = CallerHandler(
         settings, entry, wall_clock, generator or random.SystemRandom()
@@ -340,7 +348,7 @@
 
 
 def _not_found_error(key: str) -> ProblemError:
-    # No record does not mean that it never ran: it may be older than records.
+    # A missing record doesn't mean that it never ran: the record may have expired.
     return ProblemError(
         Problem(
             RefusalCode.NOT_FOUND.value,
--- a/src/cactuswalk/http/headers.py
+++ b/src/cactuswalk/http/headers.py
@@ -1,4 +1,4 @@
-"""Read and check the headers of a submission."""
+"""Parse and validate the headers of a submission."""
 
 import datetime
 import re
@@ -32,14 +32,14 @@
     "read_async_wait",
 ]
 
-# How far the clock that made a key may be off ours. Hosts that keep their time
-# by NTP are within milliseconds; ten seconds covers a missed correction. The
-# margin is taken off the retention window, so that "too old to know" is said
-# while the records are still there for certain, and a key born further ahead is
-# refused, since it would outlive its records.
+# Maximum difference between the clock that generated a key and this entry's clock.
+# Hosts with NTP differ by milliseconds; ten seconds covers a missed correction.
+# The margin is subtracted from the retention time, so that "too_old_to_know" is
+# returned while the records certainly still exist. A key that lies further in the
+# future is rejected, since it would outlive its records.
 CLOCK_MARGIN_MS = 10_000
 
-# A caller that speaks in seconds or counts of its own is bound by these.
+# Upper bounds of what a caller may declare; they also catch values in wrong units.
 MAX_DURATION_MS = 3_600_000
 MAX_MEMORY_MB = 1 << 30
 MAX_ACCELERATORS = 1_000
@@ -67,10 +67,12 @@
 
 
 class SubmissionKey(msgspec.Struct, frozen=True):
-    """The identifier of a submission within its team.
+    """Identifier of a submission within its team.
 
-    :param minted: the entry has to make it; ``key`` is empty.
-    :param first_sent_ms: from the header; 0 where the key carries its birth.
+    :param minted: the entry has to generate the key; ``key`` is empty.
+    :param created_ms: when the key was created, in ms since the Unix epoch.
+    :param first_sent_ms: creation time from the ``Cactuswalk-First-Sent`` header; 0
+        if the key contains its creation time.
     """
 
     key: str = ""
@@ -80,7 +82,7 @@
 
 
 class DeclaredWork(msgspec.Struct, frozen=True):
-    """What a caller declares of a single request."""
+    """Headers in which a caller describes a single request."""
 
     idempotent: bool
     selector: str
@@ -91,49 +93,51 @@
 
 
 def make_problem_error(code: str, detail: str, remedy: str = "") -> ProblemError:
-    """Return the error that ends a request with nothing started."""
+    """Return the error that rejects a request before anything is started."""
     return ProblemError(Problem(code, detail, remedy=remedy))
 
 
 def is_valid_key(text: str) -> bool:
-    """Say whether a text can be an idempotency key."""
+    """Return whether a text is a valid idempotency key."""
     return _KEY_PATTERN.fullmatch(text) is not None
 
 
 def read_single_header(request: web.Request, name: str) -> str | None:
-    """Return a header's value; one that stands twice says two things."""
+    """Return the value of a header, None if missing; duplicates are rejected."""
     values = request.headers.getall(name, [])
     if not values:
         return None
     if len(values) > 1:
         raise make_problem_error(
-            InputCode.INVALID_HEADER, f"{name} stands {len(values)} times"
+            InputCode.INVALID_HEADER, f"{name} occurs {len(values)} times"
         )
     return values[0].strip()
 
 
 def reject_unknown_headers(request: web.Request, known: frozenset[str]) -> None:
-    """Refuse headers of ours that mean nothing here.
+    """Reject ``Cactuswalk-`` headers that this path doesn't support.
 
-    A misspelt or misplaced one would be passed over in silence, and the work
-    done without the deadline or the selector that the caller wrote.
+    If a misspelt or misplaced header was ignored, the work would be done without
+    the deadline or selector that the caller meant to set.
     """
     for name in request.headers:
         lower = name.lower()
         if lower.startswith("cactuswalk-") and lower not in known:
             raise make_problem_error(
                 InputCode.INVALID_HEADER,
-                f"{lower} is no header of this path",
-                "Correct its name; in a job, put it into the body instead.",
+                f"{lower} is not a header of this path",
+                "Correct its name; for a job, set it in the body instead.",
             )
 
 
 def read_submission_key(
     request: web.Request, now_ms: int, retention_seconds: int
 ) -> SubmissionKey:
-    """Read ``Idempotency-Key`` and when it was born.
+    """Read ``Idempotency-Key`` and determine when it was created.
 
     :param now_ms: wall clock in milliseconds since the Unix epoch.
+    :raises ProblemError: if the key is invalid, has no creation time, or was
+        created in the future or before the oldest kept records.
     """
     value = read_single_header(request, "Idempotency-Key")
     first_sent = read_single_header(request, "Cactuswalk-First-Sent")
@@ -141,21 +145,22 @@
         if first_sent is not None:
             raise make_problem_error(
                 InputCode.INVALID_HEADER,
-                "Cactuswalk-First-Sent means nothing without Idempotency-Key",
+                "Cactuswalk-First-Sent is set without Idempotency-Key",
             )
         return SubmissionKey()
-    # The draft writes it as a structured string, in quotes.
+    # The IETF draft defines the key as a structured field string, in quotes.
     key = value
     if len(value) >= 2 and value[0] == value[-1] == '"':
         key = value[1:-1]
     if not is_valid_key(key):
         raise make_problem_error(
-            InputCode.INVALID_KEY, "the idempotency key can't be used"
+            InputCode.INVALID_KEY,
+            "the idempotency key has invalid characters or length",
         )
     born, first_sent_ms = read_creation_ms(key), 0
     if born is None and first_sent is None:
         raise make_problem_error(
-            InputCode.KEY_WITHOUT_BIRTH, f"{key} does not tell when it was made"
+            InputCode.KEY_WITHOUT_BIRTH, f"{key} does not contain its creation time"
         )
     if born is None:
         born = first_sent_ms = _read_time_ms(first_sent)
@@ -167,11 +172,11 @@
     if born > now_ms + CLOCK_MARGIN_MS:
         raise make_problem_error(
             InputCode.KEY_FROM_FUTURE,
-            f"{key} was made {born - now_ms} ms ahead of this entry's clock",
+            f"{key} was created {born - now_ms} ms ahead of this entry's clock",
         )
     age_ms = now_ms - born
     if age_ms > retention_seconds * 1000 - CLOCK_MARGIN_MS:
-        detail = f"{key} was made {age_ms} ms ago; records are kept for "
+        detail = f"{key} was created {age_ms} ms ago; records are kept for "
         problem = Problem(
             code=RefusalCode.TOO_OLD.value,
             detail=f"{detail}{retention_seconds} s",
@@ -182,7 +187,7 @@
 
 def _read_time_ms(value: str) -> int:
     name = "Cactuswalk-First-Sent"
-    remedy = "Write a time as in 2026-12-02T22:00:00Z (RFC 3339)."
+    remedy = "Give an RFC 3339 time, such as 2026-12-02T22:00:00Z."
     if not _RFC3339_PATTERN.fullmatch(value):
         raise make_problem_error(InputCode.INVALID_HEADER, f"{name} is no time", remedy)
     try:
@@ -195,31 +200,31 @@
 
 
 def read_deadline_ms(request: web.Request, default_ms: int, maximum_ms: int) -> int:
-    """Read how long the caller waits, from the arrival of the request."""
+    """Return the deadline in ms, relative to the arrival of the request."""
     value = read_single_header(request, "Cactuswalk-Deadline-Ms")
     if value is None:
         return default_ms
     remedy = f"Give 1 to {maximum_ms} milliseconds, or leave the header out."
     if not _INTEGER_PATTERN.fullmatch(value):
         raise make_problem_error(
-            InputCode.INVALID_DEADLINE, "the deadline is no whole number", remedy
+            InputCode.INVALID_DEADLINE, "the deadline is not a whole number", remedy
         )
     deadline_ms = int(value)
     if deadline_ms <= 0:
         raise make_problem_error(
-            RefusalCode.DEADLINE_PASSED, "the deadline has passed already"
+            RefusalCode.DEADLINE_PASSED, "the deadline has already passed"
         )
     if deadline_ms > maximum_ms:
         raise make_problem_error(
             InputCode.INVALID_DEADLINE,
-            f"{deadline_ms} ms are above this entry's maximum",
+            f"{deadline_ms} ms exceed this entry's maximum deadline",
             remedy,
         )
     return deadline_ms
 
 
 def read_declared_work(request: web.Request) -> DeclaredWork:
-    """Read what a caller declares of a single request."""
+    """Read the headers that describe a single request."""
     return DeclaredWork(
         idempotent=_read_boolean(request, "Cactuswalk-Idempotent"),
         selector=check_selector(
@@ -252,14 +257,14 @@
     if not _INTEGER_PATTERN.fullmatch(value) or not 0 <= int(value) <= maximum:
         raise make_problem_error(
             InputCode.INVALID_HEADER,
-            f"{name} is out of bounds",
+            f"{name} is out of range",
             f"Give a whole number from 0 to {maximum}.",
         )
     return int(value)
 
 
 def check_selector(value: str) -> str:
-    """Return a selector that can be read; an unreadable one is refused."""
+    """Return the selector if it is valid; otherwise raise ``ProblemError``."""
     if len(value) > MAX_SELECTOR_LENGTH:
         raise make_problem_error(
             InputCode.INVALID_SELECTOR,
@@ -276,18 +281,24 @@
 
 
 def check_affinity_key(value: str) -> str:
-    """Return a key that prefers a worker, if it is short and printable."""
+    """Return the affinity key if it is printable and short enough.
+
+    :raises ProblemError: if it is not.
+    """
     if len(value) > MAX_AFFINITY_KEY_LENGTH or not value.isprintable():
         raise make_problem_error(
             InputCode.INVALID_HEADER,
-            "the key that prefers a worker can't be used",
+            "the affinity key is too long or has unprintable characters",
             f"Use up to {MAX_AFFINITY_KEY_LENGTH} printable characters.",
         )
     return value
 
 
 def read_async_wait(request: web.Request) -> float | None:
-    """Return the seconds to wait before 202 (RFC 7240); None without a wish."""
+    """Return the seconds to wait before a 202 response (RFC 7240).
+
+    None if the request doesn't prefer an asynchronous response.
+    """
     preferences = ",".join(request.headers.getall("Prefer", []))
     words = [word.strip().lower() for word in re.split("[,;]", preferences)]
     if "respond-async" not in words:
--- a/src/cactuswalk/http/health.py
+++ b/src/cactuswalk/http/health.py
@@ -1,4 +1,4 @@
-"""Health and readiness, for the balancer and for whoever watches a process."""
+"""Health and readiness endpoints for load balancers and monitoring."""
 
 from collections.abc import Callable
 
@@ -10,9 +10,9 @@
 def add_health_routes(
     application: web.Application, not_ready: Callable[[], list[str]]
 ) -> None:
-    """Serve ``/health`` (it answers at all) and ``/ready`` (give it work).
+    """Add ``/health`` (the process responds) and ``/ready`` (it accepts work).
 
-    :param not_ready: the reasons against giving it work; none if there are none.
+    :param not_ready: returns the reasons why it doesn't accept work; empty if it does.
     """
 
     async def health(request: web.Request) -> web.Response:
--- a/src/cactuswalk/http/middleware.py
+++ b/src/cactuswalk/http/middleware.py
@@ -1,4 +1,4 @@
-"""Turn whatever ends a handler early into a problem response."""
+"""Convert exceptions of request handlers to problem responses."""
 
 import logging
 
@@ -26,7 +26,7 @@
 
 @web.middleware
 async def problem_middleware(request: web.Request, handler) -> web.StreamResponse:
-    """Answer with a problem where a handler raises."""
+    """Return a problem response if the handler raises."""
     try:
         return await handler(request)
     except ProblemError as error:
@@ -34,11 +34,11 @@
     except web.HTTPException as error:
         return _convert_http_exception(request, error)
     except Exception:
-        # A fault of the program. What it had started is not known here, so the
-        # caller must not be told "not run".
-        logger.exception("a handler of %s failed", request.method)
+        # A bug. Whether work was started is unknown here, so the outcome must not
+        # be "not_run".
+        logger.exception("unhandled exception in a %s handler", request.method)
         problem = Problem(
-            InputCode.INTERNAL, "the entry failed", outcome=Outcome.UNKNOWN
+            InputCode.INTERNAL, "internal error of the entry", outcome=Outcome.UNKNOWN
         )
         return problem_response(problem)
 
@@ -57,8 +57,11 @@
 def _reject(
     request: web.Request, problem: Problem, headers: dict[str, str]
 ) -> web.Response:
-    """Answer for this request alone; an earlier copy of it may have run."""
+    """Return a problem response; its outcome covers this copy of the request only.
+
+    An earlier copy with the same idempotency key may have run.
+    """
     if problem.code in RETRY_SENSITIVE_CODES and "Idempotency-Key" in request.headers:
         problem.outcome = Outcome.UNKNOWN
-        problem.remedy = "Ask again with the same key; an earlier copy may have run."
+        problem.remedy = "Retry with the same key; an earlier copy may have run."
     return problem_response(problem, headers)
--- a/src/cactuswalk/http/operators.py
+++ b/src/cactuswalk/http/operators.py
@@ -1,8 +1,8 @@
-"""The operators' interface of an entry.
+"""HTTP interface of an entry for operators.
 
-Reads come from the entry's own copy and work while the key-value service is
-away. Changes are checked, written once with compare-and-swap, and say truly
-what became of them.
+Reads are served from the entry's replica and work while the key-value service is
+unavailable. Changes are validated, written at most once with compare-and-swap, and
+the response says whether they were written, not written or are in doubt.
 """
 
 import asyncio
@@ -41,22 +41,22 @@
 
 __all__ = ["OperatorsInterface", "make_operators_application"]
 
-# Two times the largest object, for callers that send it with white space.
+# Twice the size of the largest object, to allow for white space in the JSON.
 MAX_BODY_BYTES = 32_768
 
 
 class OperatorsInterface(msgspec.Struct, kw_only=True):
-    """What the interface needs of the entry that it is part of.
+    """Data and operations of the entry that the operators' interface uses.
 
-    :param operators: names of operators, by the SHA-256 of their tokens in
-        hexadecimal, so that the settings hold no token.
-    :param publish: takes each accepted change for the entry's ``ConfigurationSync``.
+    :param operators: operator names, keyed by the hexadecimal SHA-256 of their
+        tokens, so that the settings don't contain tokens.
+    :param publish: passes each accepted change to the entry's ``ConfigurationSync``.
     :param status: returns what ``cactuswalk status`` shows.
-    :param explain: answers "where may this job land, and why not there".
-    :param in_force: says on how many of the known nodes a revision is in force.
-    :param is_heard: whether the entry hears the owner of a cell.
-    :param wall_ms: wall clock in milliseconds, for people only.
-    :param log: takes a sentence and its values.
+    :param explain: returns which workers can take a job and why others can't.
+    :param in_force: returns on how many of the known nodes a revision is in force.
+    :param is_heard: returns whether the entry receives messages from a cell's owner.
+    :param wall_ms: returns the wall clock in milliseconds, for display only.
+    :param log: writes a log line with its fields.
     """
 
     keys: ConfigurationKeys
@@ -106,21 +106,24 @@
 
 @web.middleware
 async def authenticate(request: web.Request, handler) -> web.StreamResponse:
-    """Let only known operators in; digests are compared, never tokens."""
+    """Reject requests without the token of an operator.
+
+    Tokens are compared by digest only.
+    """
     scheme, _, token = request.headers.get("Authorization", "").partition(" ")
     digest = hashlib.sha256(token.strip().encode("utf-8", "replace")).hexdigest()
     who = request.app[INTERFACE].operators.get(digest)
     if scheme.lower() != "bearer" or who is None:
         raise UnauthorizedError(
-            "the request carries no token that this entry knows",
-            "Give a token of [operators] in the entry's settings.",
+            "the request has no token that this entry knows",
+            "Use a token listed in [operators] of the entry's settings.",
         )
     request[WHO] = who
     return await handler(request)
 
 
 async def list_objects(request: web.Request) -> web.Response:
-    """Return all objects, or those of a kind or with matching labels."""
+    """Return all objects, optionally filtered by kind and label selector."""
     replica = request.app[INTERFACE].replica
     kind = request.query.get("kind", "")
     if kind:
@@ -137,7 +140,7 @@
 
 
 async def get_object(request: web.Request) -> web.Response:
-    """Return an object from this entry's copy, or from the service itself."""
+    """Return an object from this entry's replica or, if fresh, from the service."""
     key = read_object_key(request)
     interface = request.app[INTERFACE]
     if is_flag_set(request, "fresh"):
@@ -149,7 +152,7 @@
         value = decode_object(stored.value) if stored and stored.value else None
     if value is None:
         raise ObjectNotFoundError(
-            f"there is no {key}", "See `cactuswalk get` for what there is."
+            f"there is no {key}", "Run `cactuswalk get` for a list."
         )
     return json_response({"revision": revision, "object": value}, revision)
 
@@ -160,16 +163,16 @@
     named = {"kind": request.match_info["kind"], "name": request.match_info["name"]}
     wanted = check_object(data)
     if object_key(wanted) != read_object_key(request):
-        remedy = f"make it {named['kind']}/{named['name']}, as in the address"
+        remedy = f"make it {named['kind']}/{named['name']}, as in the URL"
         raise ConfigurationError([Mistake("name", object_key(wanted), remedy)])
     return await apply_change(request, "replace", lambda before: wanted)
 
 
 async def patch_object(request: web.Request) -> web.Response:
-    """Change some fields of an object by a JSON merge patch (RFC 7396)."""
+    """Change fields of an object with a JSON merge patch (RFC 7396)."""
     data = await read_json_body(request)
     if not isinstance(data, dict) or {"kind", "name"} & data.keys():
-        remedy = "give an object of the fields to change, without kind and name"
+        remedy = "give a JSON object of the fields to change, without kind and name"
         raise ConfigurationError([Mistake("(all)", "(patch)", remedy)])
 
     def make(before: OperatorObject | None) -> OperatorObject:
@@ -189,12 +192,12 @@
 
 
 async def get_history(request: web.Request) -> web.Response:
-    """Return who changed an object, when and what; it lies in the service."""
+    """Return the history of an object, read from the key-value service."""
     current = await request.app[INTERFACE].keys.read(read_object_key(request))
     if not current.history:
         raise ObjectNotFoundError(
-            f"there never was a {current.key}",
-            "See `cactuswalk get` for what there is.",
+            f"there has never been a {current.key}",
+            "Run `cactuswalk get` for a list.",
         )
     return json_response({"key": current.key, "history": current.history})
 
@@ -205,12 +208,12 @@
 
 
 async def retire_cell(request: web.Request) -> web.Response:
-    """Give the slots of a cell that is gone for good to another."""
+    """Transfer the slots of a permanently stopped cell to another cell."""
     interface, cell = request.app[INTERFACE], request.match_info["cell"]
     to = request.query.get("to", "")
     store, heard, clock = interface.keys.store, interface.is_heard, interface.wall_ms
     retirement = CellRetirement(store, heard, clock)
-    # A write that has begun ends also if the operator closes the connection.
+    # Shielded: a started write completes even if the operator disconnects.
     done = await asyncio.shield(
         retirement.retire(cell, to, is_flag_set(request, "hosts_are_off"))
     )
@@ -219,18 +222,18 @@
 
 
 async def get_explanation(request: web.Request) -> web.Response:
-    """Answer where a job may land."""
+    """Return which workers can take a job."""
     query = dict(request.query)
     parse_selector(query.get("selector", ""))
     return json_response(await request.app[INTERFACE].explain(query))
 
 
 async def get_in_force(request: web.Request) -> web.Response:
-    """Say on how many nodes a revision is in force."""
+    """Return on how many nodes a revision is in force."""
     text = request.query.get("revision", "")
     if not text.isdecimal() or len(text) > 18:
         raise UsageError(
-            f"revision {text!r} is no revision", "Give the number that `apply` shows."
+            f"revision {text!r} is invalid", "Give the number that `apply` shows."
         )
     interface = request.app[INTERFACE]
     one = interface.in_force(int(text))
@@ -244,7 +247,7 @@
     action: str,
     make: Callable[[OperatorObject | None], OperatorObject | None],
 ) -> web.Response:
-    """Make a change, and log who asked for what and what became of it."""
+    """Apply a change, and log the operator, the change and its outcome."""
     interface = request.app[INTERFACE]
     wanted = ChangeRequest(
         *(
@@ -255,8 +258,8 @@
         *(request[WHO], interface.wall_ms(), action, make),
         dry_run=is_flag_set(request, "dry_run"),
     )
-    # An operator who closes the connection must not stop a write half-way: it
-    # would have been made without having been spread or logged.
+    # Shielded: if a disconnect cancelled the handler during the write, the change
+    # would be made without being published or logged.
     accepted = await asyncio.shield(apply_and_log(request.app, wanted))
     created = accepted.written and wanted.expected == 0
     return json_response(accepted, accepted.revision, 201 if created else 200)
@@ -265,7 +268,7 @@
 async def apply_and_log(
     application: web.Application, wanted: ChangeRequest
 ) -> ChangeResult:
-    """Make a change and log its outcome."""
+    """Apply a change and log its outcome."""
     interface = application[INTERFACE]
     report_outcome = functools.partial(log_outcome, interface, wanted)
     try:
@@ -280,7 +283,7 @@
 def log_outcome(
     interface: OperatorsInterface, wanted: ChangeRequest, outcome: str, revision: int
 ) -> None:
-    """Log what became of a change."""
+    """Log the outcome of a change."""
     fields = {
         "key": wanted.key,
         "who": wanted.who,
@@ -292,7 +295,7 @@
 
 
 def read_object_key(request: web.Request) -> str:
-    """Return the key in the address of a request."""
+    """Return the object key in the URL of a request."""
     kind, name = request.match_info["kind"], request.match_info["name"]
     check_kind(kind)
     mistakes = find_mistakes({"kind": kind, "name": name})
@@ -302,27 +305,28 @@
 
 
 def check_kind(kind: str) -> None:
-    """Raise for a kind that there isn't."""
+    """Raise ``ConfigurationError`` if the kind doesn't exist."""
     if kind not in KINDS:
         remedy = f"give one of {', '.join(KINDS)}"
         raise ConfigurationError([Mistake("kind", kind, remedy)])
 
 
 def read_expected_revision(request: web.Request) -> int:
-    """Return the revision that a change builds on, 0 for a new object."""
+    """Return the revision that a change is based on, 0 for a new object."""
     if request.headers.get("If-None-Match", "").strip() == "*":
         return 0
     text = request.headers.get("If-Match", "").strip().strip('"')
     if text.isdecimal() and 0 < len(text) <= 18:
         return int(text)
     raise MissingPreconditionError(
-        "the change does not say which revision it builds on",
-        'Send If-Match: "REVISION" as read, or If-None-Match: * for a new object.',
+        "the change has no precondition with the revision that it is based on",
+        'Send If-Match: "REVISION" with the revision read, or If-None-Match: * for a '
+        "new object.",
     )
 
 
 def read_write_id(request: web.Request) -> str:
-    """Return the write id that the client gave, or a new one."""
+    """Return the write ID from the client, or a new one."""
     text = request.headers.get("Write-Id", "")
     if not text:
         return str(uuid.uuid4())
@@ -330,17 +334,17 @@
         return str(uuid.UUID(text))
     except ValueError:
         raise UsageError(
-            f"Write-Id {text[:80]!r} is no UUID", "Draw a new UUID for each change."
+            f"Write-Id {text[:80]!r} is not a UUID", "Generate a UUID for each change."
         ) from None
 
 
 def is_flag_set(request: web.Request, name: str) -> bool:
-    """Return whether a switch in the query is on."""
+    """Return whether a boolean query parameter is set."""
     return request.query.get(name, "") in ("1", "true", "yes")
 
 
 async def read_json_body(request: web.Request) -> object:
-    """Return the JSON in a request's body."""
+    """Return the decoded JSON body of a request."""
     try:
         return json.loads(await request.read())
     except (ValueError, RecursionError) as error:
@@ -349,9 +353,10 @@
 
 
 def merge_patch(target: dict, patch: dict) -> dict:
-    """Return a JSON object after a merge patch of its fields and labels.
+    """Return a JSON object with a merge patch applied to its fields and labels.
 
-    Objects nest no deeper; what does is left whole for the check to refuse.
+    Valid objects nest no deeper; deeper values are replaced whole, and validation
+    rejects them.
     """
     merged = merge_fields(target, patch)
     labels, change = target.get("labels"), patch.get("labels")
@@ -361,13 +366,13 @@
 
 
 def merge_fields(target: dict, patch: dict) -> dict:
-    """Return a map after a patch in which null removes a field."""
+    """Return a mapping with a patch applied; null removes a field."""
     merged = target | patch
     return {name: value for name, value in merged.items() if value is not None}
 
 
 def json_response(value: object, revision: int | None = None, status: int = 200):
-    """Return a response of JSON, with the revision as its entity tag."""
+    """Return a JSON response with the revision as its entity tag."""
     headers = {} if revision is None else {"ETag": f'"{revision}"'}
     return web.Response(
         status=status,
--- a/src/cactuswalk/http/operators_cells.py
+++ b/src/cactuswalk/http/operators_cells.py
@@ -1,4 +1,4 @@
-"""Retire a cell whose hosts are gone for good, on an operator's word."""
+"""Retire a cell whose hosts are permanently stopped, on an operator's request."""
 
 import uuid
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 
 __all__ = ["CellAliveError", "CellRetirement"]
 
-# As a cession: beyond the margins of callers' and entries' clocks, so that no key
-# that the cell may have accepted is given away.
+# Same margin as for a cession: larger than the clock differences of callers and
+# entries, so that no key that the cell may have accepted is transferred.
 RETIRE_AHEAD_MS = 5_000
 
 
 class CellAliveError(CactuswalkError):
-    """The cell has an owner that this entry hears."""
+    """The cell has an owner from which this entry receives messages."""
 
     code = "cell_alive"
     status = 409
@@ -34,10 +34,10 @@
 
 
 class CellRetirement:
-    """Changes records of cells for operators.
+    """Retires cells by changing their records in the key-value service.
 
-    :param is_heard: whether the entry hears an owner of a cell.
-    :param wall_ms: the present time.
+    :param is_heard: returns whether the entry receives messages from a cell's owner.
+    :param wall_ms: returns the wall clock in milliseconds.
     """
 
     __slots__ = ("store", "is_heard", "wall_ms")
@@ -53,29 +53,31 @@
         self.wall_ms = wall_ms
 
     async def retire(self, cell: str, to: str, hosts_are_off: bool) -> dict:
-        """Give a cell's slots to another; a repeated call changes nothing more.
+        """Transfer a cell's slots to another cell; idempotent.
 
-        What goes wrong if a host of the cell still runs behind a cut: its owner
-        starts keys that the other cell starts too. Nobody but the operator can
-        tell, so the operator has to say so.
+        If a host of the cell still runs behind a network partition, its owner and
+        the other cell both start the same keys. Only the operator can know, so the
+        operator has to confirm that the hosts are off.
 
-        :raises CellAliveError: nothing was written.
+        :raises UsageError: if ``hosts_are_off`` is False or ``to`` is not a running
+            other cell; nothing was written.
+        :raises CellAliveError: if the owner is heard; nothing was written.
         """
         if not hosts_are_off or cell == to:
             raise UsageError(
-                f"{cell} is retired to {to} only on the word that its hosts are off",
-                "Switch all hosts of the cell off, name another cell with --to, and "
+                f"{cell} is retired to {to} only if you confirm that its hosts are off",
+                "Switch all hosts of the cell off, give another cell with --to, and "
                 "add --hosts-are-off.",
             )
         if self.is_heard(cell):
             raise CellAliveError(
-                f"the owner of {cell} is heard by this entry",
-                "Drain its workers; it gives its share away by itself.",
+                f"the owner of {cell} sends messages to this entry",
+                "Drain its workers; the cell then cedes its slots by itself.",
             )
         record, revision = await self._read(cell)
         target, _ = await self._read(to)
         if not target.owner.address:
-            raise UsageError(f"{to} is retired itself", "Name a cell that runs.")
+            raise UsageError(f"{to} is itself retired", "Give a running cell.")
         if record.owner.address:
             await self._write(self._retired(record, to), revision)
         return {"cell": cell, "to": to, "written": bool(record.owner.address)}
@@ -95,12 +97,12 @@
         event = await self.store.read(cell_key(cell))
         if not event.known:
             raise ServiceUnavailableError(
-                f"the key-value service gave no answer for {cell}",
-                "Nothing was written. Try again when the service answers.",
+                f"the key-value service did not answer the read of {cell}",
+                "Nothing was written. Retry when the service answers.",
             )
         if event.value is None:
             raise ObjectNotFoundError(
-                f"there is no cell {cell}", "See `cactuswalk status` for the cells."
+                f"there is no cell {cell}", "Run `cactuswalk status` for a list."
             )
         return msgspec.json.decode(event.value, type=CellRecord), event.revision
 
@@ -111,4 +113,6 @@
         if swapped.outcome is SwapOutcome.UNKNOWN:
             raise OutcomeUnknownError(key, record.write_id)
         if swapped.outcome is SwapOutcome.LOST:
-            raise ConflictError(f"the record of {record.cell} has changed", 0, "", 0)
+            raise ConflictError(
+                f"the record of {record.cell} was changed meanwhile", 0, "", 0
+            )
--- a/src/cactuswalk/http/operators_changes.py
+++ b/src/cactuswalk/http/operators_changes.py
@@ -1,4 +1,4 @@
-"""Make an operator's change in the key-value service, once or not at all."""
+"""Write operators' changes to the key-value service, at most once."""
 
 from collections.abc import Callable
 
@@ -24,20 +24,20 @@
 
 __all__ = ["ChangeResult", "ChangeRequest", "ChangeWriter", "describe_difference"]
 
-# A line of history is for people; an object of many long labels would fill
-# the service's value with its own past.
+# The difference in the history is for display only; unbounded, the history of an
+# object with many long labels would fill its value in the service.
 MAX_DIFFERENCE_LINES = 20
 MAX_DIFFERENCE_LINE_LENGTH = 200
 
 
 class ChangeRequest(msgspec.Struct):
-    """What an operator wants of one object.
+    """An operator's change of one object.
 
-    :param expected: revision that the change builds on; 0 for a new object.
-    :param write_id: unique; the same one again is the same change.
-    :param make: returns the object after the change, None to delete it, and
-        raises ``ConfigurationError`` if it would be wrong.
-    :param at_ms: wall clock, for people.
+    :param expected: revision that the change is based on; 0 for a new object.
+    :param write_id: unique per change; a request with the same ID is a retry.
+    :param at_ms: wall clock in milliseconds, for display only.
+    :param make: returns the object after the change, None to delete it; raises
+        ``ConfigurationError`` if the result would be invalid.
     """
 
     key: str
@@ -51,9 +51,10 @@
 
 
 class ChangeResult(msgspec.Struct):
-    """A change that was made, or would be.
+    """A change that was written or, with ``written`` False, would be.
 
-    :param revision: of the object; with ``written`` False the one it has now.
+    :param revision: revision of the object: the new one if ``written``, else the
+        current one.
     """
 
     key: str
@@ -65,11 +66,11 @@
 
 
 class ChangeWriter:
-    """Writes changes, and hands what was accepted to the replica at once.
+    """Writes changes, and publishes accepted ones to the replica at once.
 
     :param publish: called with an update for this entry's replica. The watch
-        brings the same change, unless the service goes away just after the
-        write; then this is the only path by which an accepted change spreads.
+        delivers the same change, unless the service becomes unavailable right after
+        the write; then an accepted change spreads by this path only.
     """
 
     __slots__ = ("keys", "replica", "publish")
@@ -85,11 +86,13 @@
         self.publish = publish
 
     async def apply(self, request: ChangeRequest) -> ChangeResult:
-        """Make a change.
+        """Apply a change.
 
-        :raises ConflictError: another came first; this one will not be made.
-        :raises ServiceUnavailableError: nothing was written.
-        :raises OutcomeUnknownError: it may have been written.
+        :raises ConflictError: the object was changed first; this change will not be
+            written.
+        :raises ServiceUnavailableError: nothing was written, except for
+            ``ServiceRolledBackError`` raised after the write.
+        :raises OutcomeUnknownError: the change may have been written.
         """
         held_revision = self.replica.revision
         await self._check_service(held_revision)
@@ -107,10 +110,10 @@
         return await self._write(request, current, after, lines, held_revision)
 
     async def _check_service(self, held_revision: int) -> None:
-        """Refuse to write to a service that has lost what is in force.
+        """Raise if the service has lost changes that are in force.
 
-        It would accept the write under a revision that no node takes: the
-        operator would see success and nothing would ever change.
+        It would accept the write with a revision that no node accepts: the operator
+        would see success, but the change would never take effect.
         """
         service_revision = await self.keys.revision()
         if service_revision < held_revision:
@@ -148,10 +151,10 @@
     async def _resolve_swap(
         self, request: ChangeRequest, expected: int, outcome: SwapOutcome
     ) -> ChangeResult:
-        """Find out what became of a swap that did not say that it applied.
+        """Determine the outcome of a swap that was not reported as applied.
 
-        The reply may have been lost after the write took effect, or a repeat
-        of the write may have lost against the first copy of itself.
+        The reply may have been lost after the write took effect, or a retry of the
+        write may have lost against its own first copy.
         """
         try:
             current = await self.keys.read(request.key)
@@ -159,8 +162,8 @@
             raise OutcomeUnknownError(request.key, request.write_id) from None
         if current.find(request.write_id):
             return self._accept_recorded(request, current)
-        # While the key is at the expected revision, a write that is still on
-        # its way can take effect; once it has moved on, never.
+        # While the key is at the expected revision, a write still in flight can
+        # take effect; at a later revision it no longer can.
         pending = current.revision == expected and outcome is SwapOutcome.UNKNOWN
         if pending or not current.has_all_changes_since(expected):
             raise OutcomeUnknownError(request.key, request.write_id)
@@ -169,10 +172,10 @@
     def _accept_recorded(
         self, request: ChangeRequest, current: CurrentObject
     ) -> ChangeResult:
-        """Accept a write that is found in the object's history."""
+        """Return the result of a write that the object's history contains."""
         found = current.find(request.write_id)
-        # The replica compares revisions; a value that a service with lost data
-        # shows is refused there.
+        # The replica compares revisions and rejects a value from a service that has
+        # lost data.
         ahead = sorted({found.revision, current.revision})
         self._publish(request.key, current.object, current.revision, ahead)
         return ChangeResult(
@@ -190,13 +193,13 @@
 
 
 def check_precondition(request: ChangeRequest, current: CurrentObject) -> None:
-    """Raise unless the object is at the revision that the change builds on."""
+    """Raise unless the object is at the revision that the change is based on."""
     if current.object is None:
         if request.expected == 0:
             return
         if not current.history:
             raise ObjectNotFoundError(
-                f"there is no {request.key}", "See `cactuswalk get` for what there is."
+                f"there is no {request.key}", "Run `cactuswalk get` for a list."
             )
         raise make_conflict_error(request, current)
     if request.expected != current.revision:
@@ -206,9 +209,9 @@
 def make_conflict_error(
     request: ChangeRequest, current: CurrentObject
 ) -> ConflictError:
-    """Return the error that tells the loser of a race who has won."""
+    """Return the conflict error with the newest change of the object."""
     if not current.history:
-        return ConflictError(f"{request.key} has changed meanwhile", 0, "", 0)
+        return ConflictError(f"{request.key} was changed meanwhile", 0, "", 0)
     newest = current.history[0]
     state = "exists" if current.object else "was deleted"
     return ConflictError(
@@ -221,7 +224,7 @@
 def describe_difference(
     before: OperatorObject | None, after: OperatorObject | None
 ) -> list[str]:
-    """Return a line for each field that a change changes."""
+    """Return the removed and added lines for the fields that differ."""
     old, new = flatten_fields(before), flatten_fields(after)
     lines = []
     for field in sorted(old.keys() | new.keys()):
@@ -233,7 +236,7 @@
 
 
 def flatten_fields(value: OperatorObject | None) -> dict[str, str]:
-    """Return an object's fields as JSON texts, each label a field."""
+    """Return an object's fields as JSON texts, with one field per label."""
     if value is None:
         return {}
     fields = msgspec.to_builtins(value)
--- a/src/cactuswalk/http/operators_errors.py
+++ b/src/cactuswalk/http/operators_errors.py
@@ -1,4 +1,4 @@
-"""What an operator is told when a change is not made, or may not be."""
+"""Errors of the operators' interface."""
 
 from cactuswalk.errors import CactuswalkError, UsageError
 
@@ -15,7 +15,7 @@
 
 
 class UnauthorizedError(CactuswalkError):
-    """The request carries no token that this entry knows."""
+    """The request has no valid operator token."""
 
     code = "unauthorized"
     status = 401
@@ -23,7 +23,7 @@
 
 
 class ObjectNotFoundError(CactuswalkError):
-    """There is no such object."""
+    """The object does not exist."""
 
     code = "not_found"
     status = 404
@@ -31,16 +31,18 @@
 
 
 class MissingPreconditionError(UsageError):
-    """A change does not say which revision it builds on."""
+    """A change has no precondition with the revision that it is based on."""
 
     code = "precondition_required"
     status = 428
 
 
 class ConflictError(CactuswalkError):
-    """Another change came first; this one was not and will not be made.
+    """The object was changed first; this change was not and will not be written.
 
-    :param revision: of the object now, 0 where there is none.
+    :param revision: current revision of the object, 0 if there is none.
+    :param who: operator who made the other change.
+    :param at_ms: wall clock of the other change, for display only.
     """
 
     code = "conflict"
@@ -50,8 +52,8 @@
     def __init__(self, message: str, revision: int, who: str, at_ms: int) -> None:
         super().__init__(
             message,
-            "Read the object again, look at the other change, and repeat yours on "
-            "the new revision.",
+            "Read the object again, check the other change, and repeat yours based "
+            "on the new revision.",
         )
         self.revision = revision
         self.who = who
@@ -59,7 +61,7 @@
 
 
 class ServiceUnavailableError(CactuswalkError):
-    """The key-value service gives no answer; nothing was written."""
+    """The key-value service does not answer; nothing was written."""
 
     code = "not_written"
     status = 503
@@ -67,7 +69,12 @@
 
 
 class ServiceRolledBackError(ServiceUnavailableError):
-    """The key-value service has lost changes that are in force."""
+    """The key-value service has lost changes that are in force.
+
+    :param held_revision: revision that the nodes hold.
+    :param service_revision: revision of the service, lower than the former.
+    :param written: the change was written before the loss was noticed.
+    """
 
     code = "service_went_back"
 
@@ -76,15 +83,15 @@
     ) -> None:
         what = "The change was written but" if written else "Nothing was written;"
         super().__init__(
-            f"the key-value service is at revision {service_revision}, the nodes hold "
-            f"revision {held_revision}",
-            f"{what} no node takes a lower revision. Restore the service from a "
-            f"copy with its revision raised above {held_revision}, then apply again.",
+            f"the key-value service is at revision {service_revision}, but the nodes "
+            f"hold revision {held_revision}",
+            f"{what} nodes reject lower revisions. Restore the service from a "
+            f"backup with its revision raised above {held_revision}, then apply again.",
         )
 
 
 class OutcomeUnknownError(CactuswalkError):
-    """The write was sent, and whether it took effect can't be told yet."""
+    """The write was sent, but it is not known whether it took effect."""
 
     code = "outcome_unknown"
     status = 503
@@ -93,14 +100,14 @@
     def __init__(self, key: str, write_id: str) -> None:
         super().__init__(
             f"the write {write_id} of {key} may or may not have taken effect",
-            "Repeat the same change with the same write id: it is made once at "
-            "most, and a write that has taken effect is recognised.",
+            "Repeat the same change with the same write id: it is made at most "
+            "once, and a write that took effect is recognised.",
         )
         self.write_id = write_id
 
 
 class UnreadableValueError(CactuswalkError):
-    """The service holds something else under the object's key."""
+    """The value under the object's key is not a valid object."""
 
     code = "unreadable_value"
     status = 500
--- a/src/cactuswalk/http/operators_problems.py
+++ b/src/cactuswalk/http/operators_problems.py
@@ -14,12 +14,12 @@
 
 logger = logging.getLogger(__name__)
 
-# Errors of other packages, whose status is not theirs to say.
+# Errors of other packages, which do not define an HTTP status.
 STATUS_BY_CODE = {"platform_value_too_large": 413, "invalid_object": 422}
 
 
 def get_http_status(error: CactuswalkError) -> int:
-    """Return the HTTP status that an error is told by."""
+    """Return the HTTP status of an error."""
     if error.code in STATUS_BY_CODE:
         return STATUS_BY_CODE[error.code]
     fallback = 400 if isinstance(error, UsageError) else 500
@@ -27,7 +27,7 @@
 
 
 def problem_fields(error: CactuswalkError) -> dict[str, object]:
-    """Return what a client reads of an error."""
+    """Return the fields of the problem document for an error."""
     status = get_http_status(error)
     fields = {
         "type": f"urn:cactuswalk:problem:{error.code}",
@@ -49,7 +49,7 @@
 
 
 def problem_response(error: CactuswalkError) -> web.Response:
-    """Return the response for an error."""
+    """Return the problem response for an error."""
     fields = problem_fields(error)
     headers = {"WWW-Authenticate": "Bearer"} if fields["status"] == 401 else {}
     return web.Response(
@@ -64,7 +64,7 @@
 async def operators_problem_middleware(
     request: web.Request, handler
 ) -> web.StreamResponse:
-    """Answer with a problem where a handler raises."""
+    """Return a problem response if the handler raises."""
     try:
         return await handler(request)
     except CactuswalkError as error:
@@ -72,17 +72,17 @@
     except web.HTTPException as error:
         found = CactuswalkError(
             f"{request.method} {request.path}: {error.reason}",
-            "See docs/operations/commands/ for what can be asked.",
+            "See docs/operations/commands/ for the available requests.",
         )
         found.code = error.reason.lower().replace(" ", "_")
         found.status = error.status
         return problem_response(found)
     except Exception:
-        # A fault of the program: whether it came before or after a write is
-        # not known here, so the operator must not be told "not written".
-        logger.exception("operators: %s %s failed", request.method, request.path)
+        # A bug. Whether it occurred before or after a write is unknown here, so the
+        # problem must not be "not_written".
+        logger.exception("unhandled exception in %s %s", request.method, request.path)
         found = CactuswalkError(
-            "the entry failed; a change may or may not have been made",
-            "Read the object again; report the fault with the entry's log.",
+            "internal error of the entry; a change may or may not have been made",
+            "Read the object again; report the error with the entry's log.",
         )
         return problem_response(found)
--- a/src/cactuswalk/http/operators_store.py
+++ b/src/cactuswalk/http/operators_store.py
@@ -1,8 +1,8 @@
-"""How objects lie in the key-value service, and what is read from there.
+"""Layout of configuration objects in the key-value service, and reads of them.
 
-One key an object. A deleted object leaves a value without an object in its
-place: the key's revision then still says that it is newer than any copy of the
-object, so that no node can bring the object back.
+Each object has one key. Deleting an object writes a tombstone, a value without an
+object: the key's revision is then higher than that of any copy, so that no node can
+restore the object.
 """
 
 from collections.abc import AsyncGenerator, Callable, Iterable
@@ -30,21 +30,21 @@
     "follow_configuration",
 ]
 
-# A write is recognised for this many further changes of its object; at some
-# 200 bytes each, history stays far below the service's bound of a megabyte.
+# A retried write is recognised until its object has had this many further changes;
+# at about 200 bytes each, the history stays far below the service's limit of 1 MB.
 HISTORY_LENGTH = 20
 
-# Of all objects' keys; the store puts the installation's own prefix before it.
+# Prefix of all objects' keys; the store prepends the prefix of the installation.
 CONFIGURATION_PREFIX = "config/"
 
-# Ends the write ids of earlier changes. The key-value client looks for a write
-# id in a value to tell whether that write made the value: found in the history
-# of a later change, it would take this later value for the write's own.
+# Suffix of the write IDs of earlier changes. The key-value client searches a value
+# for a write ID to find out whether that write made the value; an unmarked ID in the
+# history would make it attribute the value of a later change to the earlier write.
 PAST_WRITE_SUFFIX = "~"
 
 
 class KeyChange(Protocol):
-    """One key's change, as a list or a watch brings it."""
+    """Change of one key, from a list or a watch."""
 
     key: str
     value: bytes | None
@@ -52,14 +52,14 @@
 
 
 class KeyChanges(Protocol):
-    """What a watch has brought; ``whole`` for a complete list."""
+    """Changes from a watch; ``is_snapshot`` for a complete list."""
 
     is_snapshot: bool
     changes: list[KeyChange]
 
 
 class KeyValueStore(Protocol):
-    """What is used of the key-value client."""
+    """Subset of the key-value client that this package uses."""
 
     async def read(self, key: str) -> KeyRead:
         """Read a key."""
@@ -67,7 +67,7 @@
     async def swap(
         self, key: str, expected: int, value: bytes, write_id: str
     ) -> KeySwapped:
-        """Write a key if its revision is the expected one."""
+        """Write a key if it is at the expected revision."""
 
     async def list(self, prefix: str) -> tuple[int, list[KeyChange]]:
         """Return the service's revision and all keys under a prefix."""
@@ -75,15 +75,17 @@
     def watch(
         self, prefix: str, from_revision: int
     ) -> AsyncGenerator[KeyChanges, None]:
-        """Yield a list and then all changes after it, through outages."""
+        """Yield a list and then all later changes, resuming after outages."""
 
 
 class Change(msgspec.Struct):
     """One change of an object.
 
-    :param revision: that it was given; 0 in the newest, whose is the key's.
-    :param at_ms: wall clock of the entry, for people; nothing is decided by it.
-    :param difference: a line for each field that has changed.
+    :param at_ms: wall clock of the entry in milliseconds; for display only, no
+        decision depends on it.
+    :param difference: removed and added lines for the fields that changed.
+    :param revision: revision of this change; stored as 0 in the newest change, whose
+        revision is that of the key.
     """
 
     write_id: str
@@ -95,9 +97,9 @@
 
 
 class StoredValue(msgspec.Struct):
-    """The value of an object's key.
+    """Value of an object's key.
 
-    :param object: None for a deleted one.
+    :param object: None if it was deleted.
     :param history: newest first, at most ``HISTORY_LENGTH``.
     """
 
@@ -106,7 +108,7 @@
 
 
 class CurrentObject(msgspec.Struct):
-    """An object as the service has it now; revision 0 where there is no key."""
+    """Current state of an object in the service; revision 0 if there is no key."""
 
     key: str
     revision: int
@@ -114,19 +116,19 @@
     history: list[Change]
 
     def find(self, write_id: str) -> Change | None:
-        """Return the change that a write made, None if it is not there."""
+        """Return the change with a write ID, None if the history has none."""
         names = (write_id, write_id + PAST_WRITE_SUFFIX)
         found = (one for one in self.history if one.write_id in names)
         return next(found, None)
 
     def has_all_changes_since(self, revision: int) -> bool:
-        """Return whether the history holds all changes after a revision."""
+        """Return whether the history contains all changes after a revision."""
         if len(self.history) < HISTORY_LENGTH:
             return True
         return any(one.revision <= revision for one in self.history)
 
     def next_value(self, after: OperatorObject | None, change: Change) -> StoredValue:
-        """Return the value that a change of this object would write."""
+        """Return the value to write for a change of this object."""
         for one in self.history[:1]:
             one.write_id = (
                 one.write_id.removesuffix(PAST_WRITE_SUFFIX) + PAST_WRITE_SUFFIX
@@ -138,12 +140,12 @@
 
 
 def encode_stored(value: StoredValue) -> bytes:
-    """Return the bytes that are written to the service."""
+    """Encode a value for the service."""
     return msgspec.json.encode(value)
 
 
 class ConfigurationKeys:
-    """The configuration's part of the key-value service."""
+    """Reads configuration objects from the key-value service."""
 
     __slots__ = ("store", "prefix", "unreadable")
 
@@ -152,18 +154,19 @@
     ) -> None:
         self.store = store
         self.prefix = prefix
-        # Keys whose values this release can't read, and why.
+        # Errors of values that this release can't decode, by key.
         self.unreadable: dict[str, str] = {}
 
     async def read(self, key: str) -> CurrentObject:
         """Read an object with its history.
 
-        :raises ServiceUnavailableError: if the service gives no answer.
+        :raises ServiceUnavailableError: if the service does not answer.
+        :raises UnreadableValueError: if the value is not a valid object.
         """
         read = await self.store.read(self.prefix + key)
         if not read.known:
             raise ServiceUnavailableError(
-                f"the key-value service gave no answer for {key}",
+                f"the key-value service did not answer the read of {key}",
                 "Nothing was written. The configuration in force stays in force; "
                 "try again when the service answers.",
             )
@@ -172,31 +175,31 @@
         return self._decode_current(key, read.value, read.revision)
 
     async def revision(self) -> int:
-        """Return the service's own revision, by reading nothing else.
+        """Return the revision of the service, by listing an empty prefix.
 
-        :raises ServiceUnavailableError: if the service gives no answer.
+        :raises ServiceUnavailableError: if the service does not answer.
         """
         try:
             revision, _ = await self.store.list(f"{self.prefix}none/")
         except CactuswalkError as error:
             raise ServiceUnavailableError(
-                f"the key-value service gave no answer: {error.message}",
+                f"the key-value service did not answer: {error.message}",
                 "Nothing was written. The configuration in force stays in force; "
                 "try again when the service answers.",
             ) from error
         return revision
 
     def update(self, since: int, changes: Iterable[KeyChange]) -> ConfigurationUpdate:
-        """Return what a list or a watch has brought as an update.
+        """Convert changes from a list or a watch to an update.
 
-        A key that is gone is passed over: no release deletes one, and a node
-        keeps what it has in force.
+        Deleted keys are skipped: no release deletes keys, and nodes keep the
+        configuration that they have in force.
 
-        The update's revision is that of its newest object: the service counts
-        writes to other keys too, and copies of the same configuration would
-        otherwise look different.
+        The update's revision is that of its newest object. The service's own revision
+        also counts writes to other keys, so replicas of the same configuration would
+        appear to differ.
 
-        :param since: of the newest object that was brought before.
+        :param since: revision of the newest object of the updates so far.
         """
         found = (self._decode_object(one) for one in changes if one.value is not None)
         objects = [one for one in found if one is not None]
@@ -205,11 +208,11 @@
         return ConfigurationUpdate(since, newest, objects)
 
     def _decode_object(self, change: KeyChange) -> StoredObject | None:
-        """Return an object without its history, which nodes have no use for.
+        """Return an object without its history, which nodes don't need.
 
-        One value that is no object of this release (written by hand, or of a
-        kind that a later release has added) must not keep all other changes
-        from being read.
+        Returns None for a value that is not a valid object in this release (written
+        by hand, or of a kind added in a later release): it must not prevent all
+        other changes from being read.
         """
         name = change.key.removeprefix(self.prefix)
         try:
@@ -226,9 +229,9 @@
             stored = _decoder.decode(value)
         except msgspec.MsgspecError as error:
             raise UnreadableValueError(
-                f"the value of {key} in the key-value service is no object: {error}",
-                "Nothing was written. Use the release that wrote it, or correct the "
-                "key in the service.",
+                f"the value of {key} in the key-value service is invalid: {error}",
+                "Nothing was written. Use the release that wrote the value, or correct "
+                "the key in the service.",
             ) from error
         if stored.history:
             stored.history[0].revision = revision
@@ -236,17 +239,17 @@
 
 
 class ConfigurationFollower:
-    """Turns a list and the watch that continues it into updates."""
+    """Converts a list and the watch that continues it to updates."""
 
     __slots__ = ("keys", "newest")
 
     def __init__(self, keys: ConfigurationKeys) -> None:
         self.keys = keys
-        # Revision of the newest object so far: the next update builds on it.
+        # Revision of the newest object so far, the base of the next update.
         self.newest = 0
 
     def make_update(self, batch: KeyChanges) -> ConfigurationUpdate:
-        """Return the update for the next news of the watch."""
+        """Return the update for the next changes from the watch."""
         since = 0 if batch.is_snapshot else self.newest
         update = self.keys.update(since, batch.changes)
         self.newest = update.revision
@@ -256,9 +259,9 @@
 async def follow_configuration(
     keys: ConfigurationKeys, publish: Callable[[ConfigurationUpdate], None]
 ) -> None:
-    """Hand all changes in the service to a replica until cancelled.
+    """Publish all changes in the service until cancelled.
 
-    :param publish: called with each update, for the entry's own ``ConfigurationSync``.
+    :param publish: called with each update, for the entry's ``ConfigurationSync``.
     """
     follower = ConfigurationFollower(keys)
     async for batch in keys.store.watch(keys.prefix, 0):
--- a/src/cactuswalk/http/problems.py
+++ b/src/cactuswalk/http/problems.py
@@ -1,7 +1,7 @@
-"""Errors towards HTTP clients: application/problem+json (RFC 9457).
+"""Errors for HTTP clients as application/problem+json (RFC 9457).
 
-One table gives each stable code its status and remedy. ``outcome`` tells the
-truth about the work: ``not_run``, ``failed`` or ``unknown``.
+``PROBLEM_KINDS`` maps each stable code to its status and remedy. ``outcome`` says
+what happened to the work: ``not_run``, ``failed`` or ``unknown``.
 """
 
 import enum
@@ -28,7 +28,7 @@
 
 
 class InputCode(enum.StrEnum):
-    """What is wrong with a request itself; nothing was started or kept."""
+    """Codes for invalid requests; nothing was started or stored."""
 
     UNAUTHENTICATED = "unauthenticated"
     NO_SUCH_PATH = "no_such_path"
@@ -53,7 +53,7 @@
 
 
 class ProblemKind(msgspec.Struct, frozen=True):
-    """What every problem of a code has in common."""
+    """Status and remedy common to all problems of a code."""
 
     status: int
     remedy: str
@@ -61,40 +61,41 @@
 
 PROBLEM_KINDS: Mapping[str, ProblemKind] = {
     InputCode.UNAUTHENTICATED: ProblemKind(
-        401, "Send 'Authorization: Bearer TOKEN' with a token that is set up here."
+        401, "Send 'Authorization: Bearer TOKEN' with a token in this entry's settings."
     ),
     InputCode.NO_SUCH_PATH: ProblemKind(404, "See docs/callers.md for the paths."),
     InputCode.METHOD_NOT_ALLOWED: ProblemKind(
-        405, "Use a method that the Allow header names."
+        405, "Use a method listed in the Allow header."
     ),
     InputCode.BODY_TOO_LARGE: ProblemKind(
-        413, "Send less, or have the operators raise [limits] body_bytes."
+        413, "Send a smaller body, or have the operators raise [limits] body_bytes."
     ),
     InputCode.UNSUPPORTED_MEDIA_TYPE: ProblemKind(
         415, "Send JSON as application/json, without Content-Encoding."
     ),
     InputCode.MALFORMED_JSON: ProblemKind(400, "Send one JSON value in UTF-8."),
     InputCode.MALFORMED_JOB: ProblemKind(
-        400, 'Send {"tasks": [{"body": ...}, ...]}; docs/callers.md has the fields.'
+        400, 'Send {"tasks": [{"body": ...}, ...]}; docs/callers.md lists the fields.'
     ),
     InputCode.NO_SUCH_TEMPLATE: ProblemKind(
-        400, "Name a template that the operators have made for this service."
+        400, "Use a template that the operators have created for this service."
     ),
-    InputCode.EMPTY_JOB: ProblemKind(400, "Put 1 to 140 tasks into a job."),
+    InputCode.EMPTY_JOB: ProblemKind(400, "Send 1 to 140 tasks per job."),
     InputCode.TOO_MANY_TASKS: ProblemKind(
-        400, "Put 1 to 140 tasks into a job, and the rest into another."
+        400, "Send 1 to 140 tasks per job, and the rest in another job."
     ),
     InputCode.INVALID_HEADER: ProblemKind(
-        400, "Correct the header; docs/callers.md has its form."
+        400, "Correct the header; docs/callers.md describes its format."
     ),
     InputCode.INVALID_DEADLINE: ProblemKind(
         400, "Give milliseconds within the entry's maximum."
     ),
     InputCode.INVALID_SELECTOR: ProblemKind(
-        400, "Correct the selector; docs/callers.md has its grammar."
+        400, "Correct the selector; docs/callers.md describes the syntax."
     ),
     InputCode.INVALID_KEY: ProblemKind(
-        400, "Use 1 to 128 letters, digits, '.', '_', ':', '~' or '-', best a UUIDv7."
+        400,
+        "Use 1 to 128 letters, digits, '.', '_', ':', '~' or '-', ideally a UUIDv7.",
     ),
     InputCode.KEY_WITHOUT_BIRTH: ProblemKind(
         400,
@@ -112,45 +113,45 @@
         400, "Send the fields that docs/upstreams.md names."
     ),
     InputCode.INTERNAL: ProblemKind(
-        500, "Ask again with the same idempotency key; tell the operators."
+        500, "Retry with the same idempotency key, and notify the operators."
     ),
-    RefusalCode.OVERLOADED: ProblemKind(503, "Ask again after Retry-After."),
+    RefusalCode.OVERLOADED: ProblemKind(503, "Retry after the time in Retry-After."),
     RefusalCode.QUOTA_EXCEEDED: ProblemKind(
-        429, "Ask again after Retry-After, or have the team's quota raised."
+        429, "Retry after the time in Retry-After, or have the team's quota raised."
     ),
     RefusalCode.DEADLINE_PASSED: ProblemKind(
-        504, "Ask again with a deadline that leaves time for the work."
+        504, "Retry with a deadline that leaves time for the work."
     ),
     RefusalCode.DEADLINE_UNREACHABLE: ProblemKind(
-        503, "Ask again after Retry-After, or give more time."
+        503, "Retry after the time in Retry-After, or set a longer deadline."
     ),
     RefusalCode.NEVER_FITS: ProblemKind(
         422, "Change the selector or the declared sizes; no worker matches them."
     ),
-    RefusalCode.NO_WORKER_NOW: ProblemKind(503, "Ask again after Retry-After."),
+    RefusalCode.NO_WORKER_NOW: ProblemKind(503, "Retry after the time in Retry-After."),
     RefusalCode.UNKNOWN_SERVICE: ProblemKind(
         404, "Correct the service's name, or have the operators create it."
     ),
     RefusalCode.KEY_REUSED: ProblemKind(
-        422, "Use a new key for another request; a resubmission repeats all of it."
+        422, "Use a new key for a different request; a resubmission must be identical."
     ),
     RefusalCode.TOO_OLD: ProblemKind(
-        410, "Find out in your own records what became of it, then use a new key."
+        410, "Check in your own records what happened to it, then use a new key."
     ),
-    RefusalCode.CANCELLED: ProblemKind(409, "Use a new key to have it done after all."),
-    RefusalCode.NO_OWNER: ProblemKind(503, "Ask again with the same key."),
-    RefusalCode.STOPPING: ProblemKind(503, "Ask again; another entry takes it."),
+    RefusalCode.CANCELLED: ProblemKind(409, "Use a new key to submit it again."),
+    RefusalCode.NO_OWNER: ProblemKind(503, "Retry with the same key."),
+    RefusalCode.STOPPING: ProblemKind(503, "Retry; another entry accepts it."),
     RefusalCode.WORKER_LOST: ProblemKind(
-        502, "Look at 'outcome': only 'not_run' is safe to send with a new key."
+        502, "Check 'outcome': resubmitting with a new key is safe only if 'not_run'."
     ),
     RefusalCode.UPSTREAM_FAILED: ProblemKind(
-        502, "Look into the upstream; use a new key to try again."
+        502, "Check the upstream; use a new key to retry."
     ),
     RefusalCode.TIMED_OUT: ProblemKind(
-        504, "Ask again with the same key to get the answer, if there is one."
+        504, "Retry with the same key to get the answer, if there is one."
     ),
     RefusalCode.RECORDS_LOST: ProblemKind(
-        502, "Find out in your own records what became of it, then use a new key."
+        502, "Check in your own records what happened to it, then use a new key."
     ),
     RefusalCode.NOT_FOUND: ProblemKind(
         404, "Check the identifier; records are kept for the retention time only."
@@ -158,10 +159,10 @@
 }
 
 
-# Refusals whose grounds may have changed since the same request was taken: its
-# resubmission under a key of the caller's can meet one while the first copy
-# runs. This entry can't tell then, and "not run" might be a lie that books a
-# pen twice. All other input codes strike every copy of a request alike.
+# Codes that a resubmission can get although the first copy was accepted and may be
+# running. The outcome of a request with an idempotency key is then unknown: with
+# "not_run" the caller might submit the work under a new key, and it would run twice.
+# All other input codes apply to every copy of a request alike.
 RETRY_SENSITIVE_CODES = frozenset(
     {
         InputCode.UNAUTHENTICATED,
@@ -176,10 +177,10 @@
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
-    """One error, as its client reads it.
+    """Problem document of one error.
 
-    :param remedy: what to do; the table's one unless it is given.
-    :param tasks: of a failed job, how each task ended.
+    :param remedy: what the client can do; defaults to the remedy of the code.
+    :param tasks: for a failed job, the outcome of each task.
     """
 
     code: str
@@ -193,7 +194,7 @@
 
 
 class ProblemError(CactuswalkError):
-    """Ends the handling of a request with a problem."""
+    """Aborts the handling of a request with a problem response."""
 
     def __init__(self, problem: Problem, headers: dict[str, str] | None = None) -> None:
         remedy = problem.remedy or PROBLEM_KINDS[problem.code].remedy
@@ -204,7 +205,7 @@
 
 
 def make_refusal_problem(outcome: Outcome, refusal: Refusal) -> Problem:
-    """Return the problem that tells a caller of a refusal."""
+    """Return the problem for a refusal."""
     return Problem(
         code=refusal.code.value,
         detail=refusal.message,
@@ -216,9 +217,9 @@
 def problem_response(
     problem: Problem, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """Return the response that carries a problem."""
+    """Return the HTTP response for a problem."""
     kind = PROBLEM_KINDS[problem.code]
-    # Bytes of a header or a path that are no UTF-8 must not end in a 500.
+    # Invalid UTF-8 in a header or path must not cause a 500.
     problem.detail = problem.detail.encode("utf-8", "replace").decode()
     fields = msgspec.to_builtins(problem)
     body = {
@@ -231,7 +232,7 @@
     }
     headers = dict(headers or {})
     if problem.retry_after_ms is not None:
-        # Whole seconds only (RFC 9110); rounded up, since early is too early.
+        # Whole seconds (RFC 9110), rounded up so that the client doesn't retry early.
         headers["Retry-After"] = str(math.ceil(problem.retry_after_ms / 1000))
     return web.Response(
         status=kind.status,
--- a/src/cactuswalk/http/server.py
+++ b/src/cactuswalk/http/server.py
@@ -1,4 +1,4 @@
-"""Start and stop the HTTP servers of a process."""
+"""HTTP server of one application."""
 
 import ssl
 
@@ -8,14 +8,14 @@
 
 __all__ = ["HttpServer"]
 
-# A caller sends its headers in one piece; more than this is no caller of ours.
+# Legitimate callers send less; larger headers are rejected.
 MAX_HEADER_BYTES = 16_384
 
 
 class HttpServer:
-    """One listening application.
+    """Serves one application on one port.
 
-    :param finish_seconds: how long requests in flight may take at a stop.
+    :param drain_seconds: maximum time for requests in flight to finish at a stop.
     """
 
     def __init__(
@@ -25,12 +25,12 @@
         drain_seconds: float,
     ) -> None:
         self.settings = settings
-        # A handler has to learn that its caller has gone.
+        # handler_cancellation lets a handler detect that its caller disconnected.
         self.runner = web.AppRunner(
             application,
             access_log=None,
-            # Encoded bodies are refused; unpacking them first would only let a
-            # small body grow, or a broken one fill the log.
+            # Encoded bodies are rejected; decompressing them first would only let a
+            # small body grow, or a corrupt one fill the log.
             auto_decompress=False,
             handler_cancellation=True,
             shutdown_timeout=drain_seconds,
@@ -40,7 +40,7 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Listen; ``port`` is the one in use from now on."""
+        """Start listening and set ``port`` to the port in use."""
         await self.runner.setup()
         site = web.TCPSite(
             self.runner,
@@ -52,7 +52,7 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Take no more connections, finish what is in flight, and close."""
+        """Stop accepting connections, finish requests in flight, and close."""
         await self.runner.cleanup()
 
 
--- a/src/cactuswalk/http/templates.py
+++ b/src/cactuswalk/http/templates.py
@@ -1,8 +1,8 @@
-"""Job templates of the operators, as callers name them.
+"""Job templates that operators define and callers refer to by name.
 
-A template says what callers leave out. What a caller gives goes before it, but for
-selectors: both have to hold, or a caller could move its work to where the operators
-of the template did not want it.
+A template supplies defaults for what a caller leaves out; values of the caller take
+precedence. Selectors are combined instead: both have to match, since otherwise a
+caller could place work where the operators of the template don't want it.
 """
 
 from collections.abc import Callable
@@ -17,28 +17,31 @@
 
 __all__ = ["FindTemplate", "apply_template", "read_template"]
 
-# (name) -> the template that is in force here, None if there is none
+# Maps a name to the template in force on this entry, None if there is none.
 FindTemplate = Callable[[str], JobTemplate | None]
 
 
 def read_template(
     request: web.Request, service: str, find: FindTemplate
 ) -> JobTemplate | None:
-    """Return the template that a caller names, None if it names none.
+    """Return the template that a request refers to, None if there is no reference.
 
-    :raises ProblemError: if it is not in force here, or for another service.
+    :raises ProblemError: if its name is invalid, or if it is not in force on this
+        entry or is for another service.
     """
     name = read_single_header(request, "Cactuswalk-Template")
     if name is None:
         return None
     if not is_name(name):
         raise make_problem_error(
-            InputCode.INVALID_HEADER, "Cactuswalk-Template is no name", NAME_REMEDY
+            InputCode.INVALID_HEADER,
+            "Cactuswalk-Template is not a valid name",
+            NAME_REMEDY,
         )
     template = find(name)
     if template is None:
         raise make_problem_error(
-            InputCode.NO_SUCH_TEMPLATE, f"no template {name} is in force here"
+            InputCode.NO_SUCH_TEMPLATE, f"template {name} is not in force on this entry"
         )
     if template.service not in ("", service):
         detail = f"template {name} is for {template.service}, not for {service}"
@@ -47,7 +50,7 @@
 
 
 def apply_template(job: Job, template: JobTemplate) -> None:
-    """Put what a template says where a caller has said nothing."""
+    """Fill in unset values of a job from a template and combine the selectors."""
     selectors = (template.selector, job.selector)
     job.selector = ",".join(one for one in selectors if one)
     for task in job.tasks:
--- a/src/cactuswalk/http/upstream.py
+++ b/src/cactuswalk/http/upstream.py
@@ -1,8 +1,8 @@
-"""The agent's calls to the upstream beside it.
+"""Calls from the agent to the upstream on its host.
 
-A call is sent at most once. ``NOT_SENT`` is said only where no connection was
-there to carry a byte of it; whatever else is no whole answer is ``UNCERTAIN``,
-since the upstream may have done the work.
+A call is sent at most once. Its outcome is ``NOT_SENT`` only if there was no
+connection that could have carried a byte of it. Any other call without a complete
+answer is ``UNCERTAIN``, since the upstream may have done the work.
 """
 
 import contextvars
@@ -23,69 +23,69 @@
 
 logger = logging.getLogger(__name__)
 
-# The brief's guard: 64 connections to an upstream, until it announces its own.
+# Required limit of connections to an upstream, until it announces its own.
 DEFAULT_CONNECTIONS = 64
 
-# An answer travels through three processes of 64 MB each; the platform's own
-# largest value is a megabyte. Four leave room and bound what an agent holds.
+# An answer passes through three processes of 64 MB each, and the platform's largest
+# value is 1 MB. 4 MB leave headroom and bound the memory of an agent.
 MAX_ANSWER_BYTES = 4 << 20
 
-# Told to the owner as the status of an answer above the limit: the work is
-# done, but its answer can't be delivered whole.
+# Status reported to the owner for an answer above the limit: the work is done, but
+# its answer can't be delivered completely.
 ANSWER_TOO_LARGE_STATUS = 502
 
-# Below the time after which common servers close an idle connection (two seconds
-# and more): on one that the upstream is just closing, whether a request arrived
-# stays open, and its outcome is uncertain for nothing.
+# Below the idle timeout of common servers (two seconds or more): if a request is sent
+# on a connection that the upstream is just closing, it is unknown whether it arrived,
+# and its outcome is needlessly uncertain.
 MAX_IDLE_SECONDS = 1.0
 
-# A stop is a wish; the call itself tells how the task ended.
+# A stop is best effort; the call itself returns how the task ended.
 STOP_TIMEOUT_SECONDS = 2.0
 
 
 class CallError(CactuswalkError):
-    """A call of an upstream that is not made, or whose answer doesn't count."""
+    """The call was not made, or its answer is invalid."""
 
     code = "upstream_call"
 
 
 class NotConnectedError(CallError):
-    """The call is not made; nothing of it has left."""
+    """The call was not made; nothing was sent."""
 
     code = "upstream_not_connected"
 
 
 class AnswerTooLargeError(CallError):
-    """The upstream's answer is above the limit."""
+    """The answer exceeds ``MAX_ANSWER_BYTES``."""
 
     code = "upstream_answer_too_large"
 
 
 class AnswerLengthMissingError(CallError):
-    """An answer without a length: one that is cut short would look whole."""
+    """The answer has no declared length, so truncation can't be detected."""
 
     code = "upstream_answer_unbounded"
 
 
 class AnswerMismatchError(CallError):
-    """An answer that does not name the request that it was read for."""
+    """The answer does not identify the request that it was read for."""
 
     code = "upstream_answer_mixed_up"
 
 
 class UpstreamClient:
-    """Calls to one upstream.
+    """Client of one upstream.
 
-    A call beyond the announced connections is not sent. A stop is, since it
-    must not wait for what it is to end.
+    A call beyond the announced number of connections is not sent. A stop is always
+    sent, since it must not wait for the call that it ends.
 
-    An upstream that answers twice leaves its second answer on the connection,
-    where the next request would read it as its own. So connections are reused
-    only where the upstream repeats the request's headers in its answer, and
-    that is checked. Otherwise each call has a connection of its own, at 1.2 ms of
-    the agent's processor time a call instead of 0.5 ms (trial on a busy machine).
+    If an upstream answers twice, the next request on the connection would read the
+    second answer as its own. Connections are therefore reused only if the upstream
+    repeats the request's headers in its answer, which is checked. Otherwise each
+    call has its own connection, which costs 1.2 ms of the agent's CPU time per call
+    instead of 0.5 ms (trial on a busy machine).
 
-    :ivar on_refused: called when nobody listens at the upstream's port any more.
+    :ivar on_refused: called when the upstream's port refuses a connection.
     """
 
     def __init__(self) -> None:
@@ -99,9 +99,10 @@
         self.pooled_session: aiohttp.ClientSession | None = None
 
     def set_upstream(self, port: int, connections: int, echoes: bool = False) -> None:
-        """Send calls to this port of the loopback from now on.
+        """Set the loopback port that later calls are sent to.
 
-        :param echoes: its answers repeat the headers that name the request.
+        :param connections: maximum number of concurrent calls.
+        :param echoes: answers repeat the headers that identify the request.
         """
         self.echoes = echoes
         self.url = URL.build(scheme="http", host="127.0.0.1", port=port)
@@ -109,7 +110,7 @@
         self.connections = connections
 
     async def open(self) -> None:
-        """Make the sessions; needs the running loop."""
+        """Create the sessions; requires a running event loop."""
         self.single_use_session = _make_session(
             _TrackingConnector(limit=0, force_close=True)
         )
@@ -118,14 +119,14 @@
         )
 
     async def close(self) -> None:
-        """Close the sessions, and with them what is still in flight."""
+        """Close the sessions, which aborts calls in flight."""
         for session in (self.single_use_session, self.pooled_session):
             if session is not None:
                 await session.close()
         self.single_use_session = self.pooled_session = None
 
     async def call(self, effect: CallUpstream) -> UpstreamAnswered:
-        """Run a task at the upstream and return what became of the call."""
+        """Run a task at the upstream and return the outcome of the call."""
         began, url = time.monotonic(), self.url
         connection = _ConnectionState()
         _connection.set(connection)
@@ -146,11 +147,11 @@
         ) as error:
             if not connection.made:
                 outcome = UpstreamOutcome.NOT_SENT
-            # What was sent to an earlier port says nothing of the present one.
+            # A refusal by an earlier port says nothing about the current one.
             if _is_connection_refused(error) and url == self.url:
                 self.on_refused()
             logger.warning(
-                "task %d of %s is %s at the upstream: %r",
+                "upstream call for task %d of %s failed (%s): %r",
                 effect.index,
                 effect.submission,
                 outcome.value,
@@ -169,13 +170,13 @@
         )
 
     async def stop(self, effect: StopUpstream) -> bool:
-        """Ask the upstream to stop a task; return whether it took the wish."""
+        """Ask the upstream to stop a task; return whether it accepted the request."""
         return await self._send_control(effect, "stop", None)
 
     async def steer(self, effect: ControlUpstream) -> bool:
-        """Ask it to throttle or save a task; return whether it took the wish."""
-        wish = {"factor": effect.factor}
-        return await self._send_control(effect, effect.action.value, wish)
+        """Ask it to throttle or save a task; return whether it accepted the request."""
+        body = {"factor": effect.factor}
+        return await self._send_control(effect, effect.action.value, body)
 
     async def _send_control(
         self, effect: StopUpstream | ControlUpstream, action: str, body: dict | None
@@ -201,13 +202,13 @@
     async def _post(self, effect: CallUpstream) -> tuple[int, bytes]:
         if self.url is None or self.single_use_session is None:
             raise NotConnectedError(
-                "no upstream has announced itself",
-                "Have the upstream announce itself; see docs/upstreams.md.",
+                "no upstream is announced",
+                "Let the upstream announce itself; see docs/upstreams.md.",
             )
         if self.in_flight > self.connections:
             raise NotConnectedError(
                 f"all {self.connections} connections are in use",
-                "Have the upstream announce more connections than slots.",
+                "Let the upstream announce more connections than slots.",
             )
         session, expected_echo = self.single_use_session, {}
         identity = {
@@ -221,7 +222,7 @@
         headers["Content-Type"] = "application/json"
         headers["Cactuswalk-Service"] = effect.service
         headers["Cactuswalk-Deadline-Ms"] = str(effect.timeout_ms)
-        # Redirects are off: following one would send the request again.
+        # Redirects are not followed, since that would send the request again.
         async with session.post(
             self.tasks_url,
             data=effect.task.body,
@@ -234,14 +235,14 @@
 
 
 def _do_nothing() -> None:
-    """Do nothing: nobody wants to know."""
+    """Default of ``on_refused``."""
 
 
 def _is_connection_refused(error: Exception) -> bool:
-    """Tell whether nobody listened at the port.
+    """Return whether the port refused the connection.
 
-    An upstream that was killed can't withdraw. Without this it would be given
-    work, which it can't begin, until its announcement expires.
+    A killed upstream can't withdraw. Without this check it would be sent work, which
+    it can't start, until its announcement expires.
     """
     refused = isinstance(error, aiohttp.ClientConnectorError)
     return refused and isinstance(error.os_error, ConnectionRefusedError)
@@ -257,7 +258,7 @@
 
 
 class _ConnectionState:
-    """Whether a call has had a connection that could carry a byte of it."""
+    """Whether a call had a connection that could have carried a byte of it."""
 
     __slots__ = ("made",)
 
@@ -265,15 +266,15 @@
         self.made = False
 
 
-# Of the call that runs in this context; each call is a task with a context of its
-# own. aiohttp's traces would tell the same, at a tenth of a call's processor time.
+# State of the call in the current context; each call is a task with its own context.
+# aiohttp's traces would show the same, but cost a tenth of a call's CPU time.
 _connection: contextvars.ContextVar[_ConnectionState] = contextvars.ContextVar(
     "connection"
 )
 
 
 class _TrackingConnector(aiohttp.TCPConnector):
-    """Notes on the call that it now has a connection; nothing is sent before."""
+    """Records in the call's state that it has a connection; nothing is sent before."""
 
     async def connect(self, *arguments, **options) -> aiohttp.connector.Connection:
         """Return a connection, new or reused."""
@@ -285,32 +286,32 @@
 def _check_echo(
     response: aiohttp.ClientResponse, expected_echo: dict[str, str]
 ) -> None:
-    """Raise, and close the connection, unless the answer names its request."""
+    """Raise and close the connection unless the answer identifies its request."""
     for name, value in expected_echo.items():
         if response.headers.get(name) != value:
-            # What else comes on this connection is some other request's too.
+            # Further answers on this connection would be mismatched as well.
             response.close()
             raise AnswerMismatchError(
                 f"{name} is {response.headers.get(name)} in the answer to {value}",
-                "Repeat the request's headers in the answer, or announce no echoes.",
+                "Let the upstream repeat the request's headers or not announce echoes.",
             )
 
 
 async def _read_whole(response: aiohttp.ClientResponse) -> bytes:
-    """Return the body; aiohttp raises if it is shorter than announced."""
+    """Return the complete body; aiohttp raises if it is shorter than declared."""
     length = response.content_length
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     if length is None and not chunked and response.status not in (204, 304):
         raise AnswerLengthMissingError(
-            "the answer has no length",
-            "Have the upstream send Content-Length or chunks.",
+            "the answer has no declared length",
+            "Let the upstream send Content-Length or chunked encoding.",
         )
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
         if len(body) > MAX_ANSWER_BYTES:
             raise AnswerTooLargeError(
-                f"the answer is above {MAX_ANSWER_BYTES} bytes",
-                "Have the upstream answer less, such as where to fetch the rest.",
+                f"the answer exceeds {MAX_ANSWER_BYTES} bytes",
+                "Let the upstream return less, such as a reference to the data.",
             )
     return bytes(body)
