--- a/features/callers_support.py
+++ b/features/callers_support.py
@@ -52,7 +52,7 @@
             event.waiter, event.job.submission, Outcome.ANSWERED, results, None
         )
 
-    async def late(self, event):
+    async def reply_when_released(self, event):
         await self.released.wait()
         return await self.echo(event)
 
--- a/features/edges_support.py
+++ b/features/edges_support.py
@@ -10,7 +10,7 @@
 from standins.upstream import Options, StandInUpstream, make_application
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
-PATIENCE_SECONDS = 10
+TIMEOUT_SECONDS = 10
 
 
 def add_clean_up(context, clean_up):
@@ -25,7 +25,7 @@
         context.edge_loop = asyncio.new_event_loop()
         add_clean_up(context, lambda: close_loop(context.edge_loop))
     return context.edge_loop.run_until_complete(
-        asyncio.wait_for(coroutine, PATIENCE_SECONDS)
+        asyncio.wait_for(coroutine, TIMEOUT_SECONDS)
     )
 
 
@@ -77,7 +77,7 @@
 
 async def until(condition):
     """Wait until the condition holds, with a timeout."""
-    end = time.monotonic() + PATIENCE_SECONDS
+    end = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < end, "timed out waiting for a condition"
         await asyncio.sleep(0.005)
--- a/features/http_callers.feature
+++ b/features/http_callers.feature
@@ -7,7 +7,7 @@
     When a caller posts the request {"pupil": 7} to "route-planning"
     Then the caller gets status 200 and the body {"pupil": 7}
     And the caller's answer names its submission and the outcome "answered"
-    And the entry was handed one request of team "planning" with 10000 ms left
+    And the entry received one request of team "planning" with 10000 ms left
 
   Scenario: The work that a caller declares reaches the entry
     When a caller posts the request {"stop": 3} to "route-planning" with the headers
@@ -20,11 +20,11 @@
       | Cactuswalk-Memory-Mb    | 64                   |
       | Cactuswalk-Accelerators | 1                    |
     Then the caller gets status 200 and the body {"stop": 3}
-    And the entry was handed the declared work
+    And the entry received the declared work
 
   Scenario: A body of exactly the maximum size is accepted
     When a caller posts a body of exactly the limit
-    Then the entry was handed one request of team "planning" with 10000 ms left
+    Then the entry received one request of team "planning" with 10000 ms left
 
   Scenario: A job gets all results as JSON
     When a caller posts a job of 140 tasks to "booking"
@@ -35,7 +35,7 @@
     that nobody asked for.
     When a caller sends invalid input: <input>
     Then the caller gets the problem "<code>" with status <status> and the outcome "not_run"
-    And the entry was handed nothing
+    And the entry received nothing
 
     Examples:
       | input                    | status | code                          |
@@ -46,50 +46,50 @@
       | a body of XML            | 415    | unsupported_media_type        |
       | malformed JSON           | 400    | malformed_json                |
       | an empty body            | 400    | malformed_json                |
-      | a string of odd bytes    | 400    | malformed_json                |
-      | odd bytes in a task      | 400    | malformed_json                |
+      | invalid UTF-8 string     | 400    | malformed_json                |
+      | invalid UTF-8 in a task  | 400    | malformed_json                |
       | deeply nested JSON       | 400    | malformed_json                |
       | a job of 0 tasks         | 400    | empty_job                     |
       | a job of 141 tasks       | 400    | too_many_tasks                |
-      | a job with a stray field | 400    | malformed_job                 |
+      | a job with extra field   | 400    | malformed_job                 |
       | a job that is a list     | 400    | malformed_job                 |
       | a past deadline          | 504    | deadline_passed               |
       | a deadline of one year   | 400    | invalid_deadline              |
-      | a deadline in words      | 400    | invalid_deadline              |
-      | a selector cut short     | 400    | invalid_selector              |
-      | a selector of odd bytes  | 400    | invalid_selector              |
+      | a non-numeric deadline   | 400    | invalid_deadline              |
+      | a truncated selector     | 400    | invalid_selector              |
+      | a non-UTF-8 selector     | 400    | invalid_selector              |
       | a misspelt header        | 400    | invalid_header                |
       | two deadlines            | 400    | invalid_header                |
       | a job's header selector  | 400    | invalid_header                |
-      | idempotent by a word     | 400    | invalid_header                |
-      | a service that is none   | 404    | unknown_service               |
+      | a non-boolean flag       | 400    | invalid_header                |
+      | an invalid service name  | 404    | unknown_service               |
       | a key with a slash       | 400    | invalid_idempotency_key       |
-      | a key without a birth    | 400    | idempotency_key_without_birth |
+      | a key without a time     | 400    | idempotency_key_without_birth |
       | a key from tomorrow      | 400    | idempotency_key_from_future   |
-      | a first-sent in words    | 400    | invalid_header                |
+      | an invalid first-sent    | 400    | invalid_header                |
       | a first-sent without key | 400    | invalid_header                |
       | an unknown path          | 404    | no_such_path                  |
-      | a path of odd bytes      | 404    | no_such_path                  |
+      | a non-UTF-8 path         | 404    | no_such_path                  |
       | a wrong method           | 405    | method_not_allowed            |
 
   Scenario Outline: Creation times of keys
     When a caller posts a request with the key <key> and first sent <first_sent>
-    Then the entry was handed a request born at <born>
+    Then the entry received a request created at <created>
 
     Examples:
-      | key           | first_sent                | born             |
-      | a UUIDv7      | never                     | the key's birth  |
-      | "a UUIDv7"    | never                     | the key's birth  |
+      | key           | first_sent                | created          |
+      | a UUIDv7      | never                     | the key's time   |
+      | "a UUIDv7"    | never                     | the key's time   |
       | order-17      | 2026-12-02T10:59:00Z      | 2026-12-02T10:59 |
       | order-17      | 2026-12-02T12:59:00+02:00 | 2026-12-02T10:59 |
-      | a UUIDv7      | 2020-01-01T00:00:00Z      | the key's birth  |
+      | a UUIDv7      | 2020-01-01T00:00:00Z      | the key's time   |
 
   Scenario: A submission older than its records is not run again
     A caller's queue restarts after a day and resubmits old work. Its record has
     expired, so it must not be treated as a new submission.
     When a caller posts a request with the key order-17 and first sent 2026-12-02T10:50:05Z
     Then the caller gets the problem "too_old_to_know" with status 410 and the outcome "unknown"
-    And the entry was handed nothing
+    And the entry received nothing
 
   Scenario: A refusal of a resubmission does not cover the first copy
     An answer was lost, and the resubmission meets an overloaded entry. The outcome
--- a/features/steps/callers_input_steps.py
+++ b/features/steps/callers_input_steps.py
@@ -18,7 +18,7 @@
 )
 from features.edges_support import request
 
-BAD_INPUT = {
+INVALID_INPUT = {
     "no token": {"token": None},
     "an unknown token": {"token": {"Authorization": "Bearer x"}},
     "a body over the limit": {"body": b'"' + b"x" * (1 << 20) + b'"'},
@@ -26,30 +26,30 @@
     "a body of XML": {"headers": {"Content-Type": "text/xml"}},
     "malformed JSON": {"body": b'{"pupil": '},
     "an empty body": {"body": b""},
-    "a string of odd bytes": {"body": b'"\xff"'},
-    "odd bytes in a task": {"body": b'{"tasks":[{"body":"\xff"}]}', "kind": "jobs"},
+    "invalid UTF-8 string": {"body": b'"\xff"'},
+    "invalid UTF-8 in a task": {"body": b'{"tasks":[{"body":"\xff"}]}', "kind": "jobs"},
     "deeply nested JSON": {"body": b"[" * 100_000},
     "a job of 0 tasks": {"body": job_of(0), "kind": "jobs"},
     "a job of 141 tasks": {"body": job_of(141), "kind": "jobs"},
-    "a job with a stray field": {"body": b'{"tasks":[],"x":1}', "kind": "jobs"},
+    "a job with extra field": {"body": b'{"tasks":[],"x":1}', "kind": "jobs"},
     "a job that is a list": {"body": b"[]", "kind": "jobs"},
     "a past deadline": {"headers": {"Cactuswalk-Deadline-Ms": "-5"}},
     "a deadline of one year": {"headers": {"Cactuswalk-Deadline-Ms": "31536000000"}},
-    "a deadline in words": {"headers": {"Cactuswalk-Deadline-Ms": "soon"}},
-    "a selector cut short": {"headers": {"Cactuswalk-Selector": "rack in (r1"}},
-    "a selector of odd bytes": {"headers": {"Cactuswalk-Selector": "\udcff=1"}},
+    "a non-numeric deadline": {"headers": {"Cactuswalk-Deadline-Ms": "soon"}},
+    "a truncated selector": {"headers": {"Cactuswalk-Selector": "rack in (r1"}},
+    "a non-UTF-8 selector": {"headers": {"Cactuswalk-Selector": "\udcff=1"}},
     "a misspelt header": {"headers": {"Cactuswalk-Deadline": "5"}},
     "a job's header selector": {
         "headers": {"Cactuswalk-Selector": "size=large"},
         "body": job_of(1),
         "kind": "jobs",
     },
-    "idempotent by a word": {"headers": {"Cactuswalk-Idempotent": "yes"}},
-    "a service that is none": {"service": "a%20b"},
+    "a non-boolean flag": {"headers": {"Cactuswalk-Idempotent": "yes"}},
+    "an invalid service name": {"service": "a%20b"},
     "a key with a slash": {"headers": {"Idempotency-Key": "a/b"}},
-    "a key without a birth": {"headers": {"Idempotency-Key": "order-17"}},
+    "a key without a time": {"headers": {"Idempotency-Key": "order-17"}},
     "a key from tomorrow": {"headers": {"Idempotency-Key": TOMORROW}},
-    "a first-sent in words": {
+    "an invalid first-sent": {
         "headers": {"Idempotency-Key": "a", "Cactuswalk-First-Sent": "today"}
     },
     "a first-sent without key": {
@@ -59,10 +59,10 @@
 
 
 @when("a caller sends invalid input: {kind}")
-def step_bad_input(context, kind):
+def step_invalid_input(context, kind):
     if kind == "an unknown path":
         send(context, "POST", "/v2/x", body=OK)
-    elif kind == "a path of odd bytes":
+    elif kind == "a non-UTF-8 path":
         send(context, "GET", URL(f"{context.base}/%FF%2F", encoded=True))
     elif kind == "a wrong method":
         send(context, "PUT", "/v1/services/booking/requests", body=OK)
@@ -73,7 +73,7 @@
         answer = request(context, "POST", url, headers=headers, data=OK)
         context.status, context.headers, context.body = answer
     else:
-        post(context, **{"service": "booking", "body": OK} | BAD_INPUT[kind])
+        post(context, **{"service": "booking", "body": OK} | INVALID_INPUT[kind])
 
 
 @when("a caller posts a request with the key {key} and first sent {first_sent}")
@@ -84,11 +84,11 @@
     post(context, "booking", OK, headers)
 
 
-@then("the entry was handed a request born at {born}")
-def step_born(context, born):
+@then("the entry received a request created at {created}")
+def step_created(context, created):
     (event,) = context.entry.events
     assert not event.minted and context.status == 200, context.body
-    wanted = NOW_MS - (5000 if born == "the key's birth" else 60_000)
+    wanted = NOW_MS - (5000 if created == "the key's time" else 60_000)
     assert event.job.created_ms == wanted, event
 
 
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -76,7 +76,7 @@
     assert context.headers["Cactuswalk-Outcome"] == outcome
 
 
-@then('the entry was handed one request of team "{team}" with {ms:d} ms left')
+@then('the entry received one request of team "{team}" with {ms:d} ms left')
 def step_handed(context, team, ms):
     (event,) = context.entry.events
     job = event.job
@@ -86,7 +86,7 @@
     assert ms - 5000 < event.remaining_ms <= ms, event
 
 
-@then("the entry was handed the declared work")
+@then("the entry received the declared work")
 def step_declared(context):
     (event,) = context.entry.events
     job, task = event.job, event.job.tasks[0]
@@ -110,7 +110,7 @@
     assert_problem(context, code, status, outcome)
 
 
-@then("the entry was handed nothing")
+@then("the entry received nothing")
 def step_nothing(context):
     assert context.entry.events == []
 
@@ -118,7 +118,7 @@
 @given("{count:d} caller may wait at a time")
 def step_limit(context, count):
     context.settings.limits.waiting_requests = count
-    context.entry.reply = context.entry.late
+    context.entry.reply = context.entry.reply_when_released
 
 
 @when("a caller waits and another posts with a key of its own")
@@ -205,7 +205,7 @@
 
 @given("the entry does not reply")
 def step_no_reply(context):
-    context.entry.reply = context.entry.late
+    context.entry.reply = context.entry.reply_when_released
 
 
 @then("the problem holds nothing of any task's body")
@@ -213,7 +213,7 @@
     assert SECRET.encode() not in context.body, context.body
 
 
-async def send_head(context):
+async def send_headers(context):
     streams = await asyncio.open_connection("127.0.0.1", context.server.port)
     head = "POST /v1/services/booking/requests HTTP/1.1\r\nHost: x\r\n"
     head += f"Authorization: {TOKEN['Authorization']}\r\nContent-Length: 12\r\n\r\n"
@@ -224,13 +224,13 @@
 @when("{count:d} callers send their headers, and their bodies later")
 def step_late_bodies(context, count):
     async def send_all():
-        streams = [await send_head(context) for _ in range(count)]
+        streams = [await send_headers(context) for _ in range(count)]
         await asyncio.sleep(0.05)
         for _, writer in streams:
             writer.write(OK)
         reading = [asyncio.create_task(r.readuntil(b"}")) for r, _ in streams]
         await until(lambda: sum(task.done() for task in reading) == count - 1)
-        context.handed = len(context.entry.events)
+        context.submitted = len(context.entry.events)
         context.entry.released.set()
         context.raw_answers = await asyncio.gather(*reading)
         for _, writer in streams:
@@ -239,17 +239,17 @@
     run(context, send_all())
 
 
-@then('{handed:d} of them is submitted and {refused:d} are refused as "{code}"')
-def step_late_bodies_refused(context, handed, refused, code):
-    assert context.handed == handed, context.handed
-    told = [f'"code":"{code}"'.encode() in raw for raw in context.raw_answers]
-    assert told.count(True) == refused, context.raw_answers
+@then('{submitted:d} of them is submitted and {refused:d} are refused as "{code}"')
+def step_late_bodies_refused(context, submitted, refused, code):
+    assert context.submitted == submitted, context.submitted
+    refusals = [f'"code":"{code}"'.encode() in raw for raw in context.raw_answers]
+    assert refusals.count(True) == refused, context.raw_answers
 
 
 @when("a caller posts a request and closes its connection")
 def step_close(context):
     async def post_and_close():
-        _, writer = await send_head(context)
+        _, writer = await send_headers(context)
         writer.write(OK)
         await until(lambda: context.entry.events)
         writer.close()
--- a/features/steps/operators_interface_steps.py
+++ b/features/steps/operators_interface_steps.py
@@ -63,7 +63,7 @@
 
 
 @then("the second operator gets a conflict with ana, revision 2 and a remedy")
-def step_told(context):
+def step_conflict(context):
     _, fields, headers = context.answers[-1]
     assert headers["Content-Type"] == "application/problem+json"
     assert (fields["who"], fields["revision"]) == ("ana", 2), fields
--- a/features/steps/upstream_steps.py
+++ b/features/steps/upstream_steps.py
@@ -35,7 +35,7 @@
     context.answer = run(context, context.upstream_client.call(context.effect))
 
 
-def digest_fits(effect, answer):
+def digest_matches(effect, answer):
     wanted = hashlib.sha256(effect.task.body).hexdigest()
     return json.loads(answer.body)["digest"] == wanted
 
@@ -147,13 +147,13 @@
 )
 def step_digest(context):
     assert context.answer.status == 200, context.answer
-    assert digest_fits(context.effect, context.answer)
+    assert digest_matches(context.effect, context.answer)
 
 
 @then("each upstream call got the digest of its own input")
 def step_digests(context):
     assert len(context.pairs) == 20
-    assert all(digest_fits(effect, answer) for effect, answer in context.pairs)
+    assert all(digest_matches(effect, answer) for effect, answer in context.pairs)
 
 
 @then("each upstream call got the digest of its own input or is uncertain")
@@ -162,7 +162,7 @@
     answered = 0
     for effect, answer in context.pairs:
         if answer.outcome != "uncertain":
-            assert digest_fits(effect, answer), (effect, answer)
+            assert digest_matches(effect, answer), (effect, answer)
             answered += 1
     assert answered
 
@@ -202,13 +202,13 @@
 
 def serve_bytes(context, payload):
     """Answer each connection with the raw bytes that ``payload()`` returns."""
-    context.asked = 0
+    context.call_count = 0
 
     async def handle(reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
         await reader.readexactly(length)
-        context.asked += 1
+        context.call_count += 1
         writer.write(payload())
         writer.close()
 
@@ -218,7 +218,7 @@
 
 
 @given("an upstream that sends {text} and closes")
-def step_odd_upstream(context, text):
+def step_raw_upstream(context, text):
     payload = text.strip().encode().decode("unicode_escape").encode()
     serve_bytes(context, lambda: payload)
 
@@ -237,8 +237,8 @@
 
 
 @then("the malformed upstream was called {count:d} time")
-def step_asked(context, count):
-    assert context.asked == count, context.asked
+def step_called(context, count):
+    assert context.call_count == count, context.call_count
 
 
 @then("an answer counts only if its full declared length was received")
--- a/src/cactuswalk/http/callers.py
+++ b/src/cactuswalk/http/callers.py
@@ -105,16 +105,16 @@
         how close a guessed token is.
         """
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
-        found = None
+        identity = None
         if scheme.lower() == "bearer":
             encoded = token.strip().encode("utf-8", "surrogateescape")
-            found = self.settings.callers.get(hashlib.sha256(encoded).hexdigest())
-        if found is None:
+            identity = self.settings.callers.get(hashlib.sha256(encoded).hexdigest())
+        if identity is None:
             problem = Problem(
                 InputCode.UNAUTHENTICATED, "the bearer token is missing or unknown"
             )
             raise ProblemError(problem, {"WWW-Authenticate": "Bearer"})
-        return found
+        return identity
 
     async def submit_request(self, request: web.Request) -> web.Response:
         """Handle a request that consists of a single task."""
@@ -223,8 +223,8 @@
             identifier = generate_identifier(created_ms, self.generator)
         job.submission = format_submission_name(job.team, identifier)
         job.created_ms = created_ms
-        named = template.name if template is not None else ""
-        job.fingerprint = compute_fingerprint(job, key.first_sent_ms, named)
+        template_name = template.name if template is not None else ""
+        job.fingerprint = compute_fingerprint(job, key.first_sent_ms, template_name)
         if template is not None:
             apply_template(job, template)
         waiter = f"{self.settings.name}/{next(self.waiter_ids)}"
--- a/src/cactuswalk/http/headers.py
+++ b/src/cactuswalk/http/headers.py
@@ -157,24 +157,27 @@
             InputCode.INVALID_KEY,
             "the idempotency key has invalid characters or length",
         )
-    born, first_sent_ms = read_creation_ms(key), 0
-    if born is None and first_sent is None:
+    created_ms, first_sent_ms = read_creation_ms(key), 0
+    if created_ms is None and first_sent is None:
         raise make_problem_error(
-            InputCode.KEY_WITHOUT_BIRTH, f"{key} does not contain its creation time"
+            InputCode.KEY_WITHOUT_CREATION_TIME,
+            f"{key} does not contain its creation time",
         )
-    if born is None:
-        born = first_sent_ms = _read_time_ms(first_sent)
-    _check_birth(key, born, now_ms, retention_seconds)
-    return SubmissionKey(key, False, born, first_sent_ms)
+    if created_ms is None:
+        created_ms = first_sent_ms = _read_time_ms(first_sent)
+    _check_creation_time(key, created_ms, now_ms, retention_seconds)
+    return SubmissionKey(key, False, created_ms, first_sent_ms)
 
 
-def _check_birth(key: str, born: int, now_ms: int, retention_seconds: int) -> None:
-    if born > now_ms + CLOCK_MARGIN_MS:
+def _check_creation_time(
+    key: str, created_ms: int, now_ms: int, retention_seconds: int
+) -> None:
+    if created_ms > now_ms + CLOCK_MARGIN_MS:
         raise make_problem_error(
             InputCode.KEY_FROM_FUTURE,
-            f"{key} was created {born - now_ms} ms ahead of this entry's clock",
+            f"{key} was created {created_ms - now_ms} ms ahead of this entry's clock",
         )
-    age_ms = now_ms - born
+    age_ms = now_ms - created_ms
     if age_ms > retention_seconds * 1000 - CLOCK_MARGIN_MS:
         detail = f"{key} was created {age_ms} ms ago; records are kept for "
         problem = Problem(
@@ -304,6 +307,8 @@
     if "respond-async" not in words:
         return None
     waits = [
-        int(found[1]) for word in words if (found := _WAIT_PATTERN.fullmatch(word))
+        int(wait_match[1])
+        for word in words
+        if (wait_match := _WAIT_PATTERN.fullmatch(word))
     ]
     return float(waits[0]) if waits else 0.0
--- a/src/cactuswalk/http/operators.py
+++ b/src/cactuswalk/http/operators.py
@@ -129,14 +129,14 @@
     if kind:
         check_kind(kind)
     selector = parse_selector(request.query.get("selector", ""))
-    found = []
+    matching = []
     for key, stored in sorted(replica.objects.items()):
         if not stored.value or (kind and not key.startswith(f"{kind}/")):
             continue
         value = decode_object(stored.value)
         if matches(selector, value.labels):
-            found.append({"revision": stored.revision, "object": value})
-    return json_response({"revision": replica.revision, "objects": found})
+            matching.append({"revision": stored.revision, "object": value})
+    return json_response({"revision": replica.revision, "objects": matching})
 
 
 async def get_object(request: web.Request) -> web.Response:
@@ -160,12 +160,12 @@
 async def put_object(request: web.Request) -> web.Response:
     """Create or replace an object."""
     data = await read_json_body(request)
-    named = {"kind": request.match_info["kind"], "name": request.match_info["name"]}
-    wanted = check_object(data)
-    if object_key(wanted) != read_object_key(request):
-        remedy = f"make it {named['kind']}/{named['name']}, as in the URL"
-        raise ConfigurationError([Mistake("name", object_key(wanted), remedy)])
-    return await apply_change(request, "replace", lambda before: wanted)
+    target = {"kind": request.match_info["kind"], "name": request.match_info["name"]}
+    replacement = check_object(data)
+    if object_key(replacement) != read_object_key(request):
+        remedy = f"make it {target['kind']}/{target['name']}, as in the URL"
+        raise ConfigurationError([Mistake("name", object_key(replacement), remedy)])
+    return await apply_change(request, "replace", lambda before: replacement)
 
 
 async def patch_object(request: web.Request) -> web.Response:
@@ -236,8 +236,8 @@
             f"revision {text!r} is invalid", "Give the number that `apply` shows."
         )
     interface = request.app[INTERFACE]
-    one = interface.in_force(int(text))
-    fields = msgspec.to_builtins(one)
+    counts = interface.in_force(int(text))
+    fields = msgspec.to_builtins(counts)
     fields["entry_in_force"] = interface.replica.holds(int(text))
     return json_response(fields)
 
@@ -249,7 +249,7 @@
 ) -> web.Response:
     """Apply a change, and log the operator, the change and its outcome."""
     interface = request.app[INTERFACE]
-    wanted = ChangeRequest(
+    change = ChangeRequest(
         *(
             read_object_key(request),
             read_expected_revision(request),
@@ -260,35 +260,35 @@
     )
     # Shielded: if a disconnect cancelled the handler during the write, the change
     # would be made without being published or logged.
-    accepted = await asyncio.shield(apply_and_log(request.app, wanted))
-    created = accepted.written and wanted.expected == 0
-    return json_response(accepted, accepted.revision, 201 if created else 200)
+    result = await asyncio.shield(apply_and_log(request.app, change))
+    created = result.written and change.expected == 0
+    return json_response(result, result.revision, 201 if created else 200)
 
 
 async def apply_and_log(
-    application: web.Application, wanted: ChangeRequest
+    application: web.Application, change: ChangeRequest
 ) -> ChangeResult:
     """Apply a change and log its outcome."""
     interface = application[INTERFACE]
-    report_outcome = functools.partial(log_outcome, interface, wanted)
+    report_outcome = functools.partial(log_outcome, interface, change)
     try:
-        accepted = await application[CHANGES].apply(wanted)
+        result = await application[CHANGES].apply(change)
     except Exception as error:
         report_outcome(getattr(error, "code", "failed"), 0)
         raise
-    report_outcome("accepted" if accepted.written else "not needed", accepted.revision)
-    return accepted
+    report_outcome("accepted" if result.written else "not needed", result.revision)
+    return result
 
 
 def log_outcome(
-    interface: OperatorsInterface, wanted: ChangeRequest, outcome: str, revision: int
+    interface: OperatorsInterface, change: ChangeRequest, outcome: str, revision: int
 ) -> None:
     """Log the outcome of a change."""
     fields = {
-        "key": wanted.key,
-        "who": wanted.who,
-        "action": wanted.action,
-        "write_id": wanted.write_id,
+        "key": change.key,
+        "who": change.who,
+        "action": change.action,
+        "write_id": change.write_id,
         "revision": revision,
     }
     interface.log(f"change {outcome}", fields)
--- a/src/cactuswalk/http/operators_changes.py
+++ b/src/cactuswalk/http/operators_changes.py
@@ -173,13 +173,13 @@
         self, request: ChangeRequest, current: CurrentObject
     ) -> ChangeResult:
         """Return the result of a write that the object's history contains."""
-        found = current.find(request.write_id)
+        recorded = current.find(request.write_id)
         # The replica compares revisions and rejects a value from a service that has
         # lost data.
-        ahead = sorted({found.revision, current.revision})
+        ahead = sorted({recorded.revision, current.revision})
         self._publish(request.key, current.object, current.revision, ahead)
         return ChangeResult(
-            *(request.key, found.revision, current.object, found.difference),
+            *(request.key, recorded.revision, current.object, recorded.difference),
             *(request.write_id, True),
         )
 
--- a/src/cactuswalk/http/operators_problems.py
+++ b/src/cactuswalk/http/operators_problems.py
@@ -70,19 +70,19 @@
     except CactuswalkError as error:
         return problem_response(error)
     except web.HTTPException as error:
-        found = CactuswalkError(
+        converted = CactuswalkError(
             f"{request.method} {request.path}: {error.reason}",
             "See docs/operations/commands/ for the available requests.",
         )
-        found.code = error.reason.lower().replace(" ", "_")
-        found.status = error.status
-        return problem_response(found)
+        converted.code = error.reason.lower().replace(" ", "_")
+        converted.status = error.status
+        return problem_response(converted)
     except Exception:
         # A bug. Whether it occurred before or after a write is unknown here, so the
         # problem must not be "not_written".
         logger.exception("unhandled exception in %s %s", request.method, request.path)
-        found = CactuswalkError(
+        converted = CactuswalkError(
             "internal error of the entry; a change may or may not have been made",
             "Read the object again; report the error with the entry's log.",
         )
-        return problem_response(found)
+        return problem_response(converted)
--- a/src/cactuswalk/http/operators_store.py
+++ b/src/cactuswalk/http/operators_store.py
@@ -118,8 +118,8 @@
     def find(self, write_id: str) -> Change | None:
         """Return the change with a write ID, None if the history has none."""
         names = (write_id, write_id + PAST_WRITE_SUFFIX)
-        found = (one for one in self.history if one.write_id in names)
-        return next(found, None)
+        matching = (one for one in self.history if one.write_id in names)
+        return next(matching, None)
 
     def has_all_changes_since(self, revision: int) -> bool:
         """Return whether the history contains all changes after a revision."""
@@ -201,8 +201,8 @@
 
         :param since: revision of the newest object of the updates so far.
         """
-        found = (self._decode_object(one) for one in changes if one.value is not None)
-        objects = [one for one in found if one is not None]
+        decoded = (self._decode_object(one) for one in changes if one.value is not None)
+        objects = [one for one in decoded if one is not None]
         objects.sort(key=lambda one: one.revision)
         newest = objects[-1].revision if objects else since
         return ConfigurationUpdate(since, newest, objects)
@@ -216,12 +216,12 @@
         """
         name = change.key.removeprefix(self.prefix)
         try:
-            held = _decoder.decode(change.value).object
+            stored_object = _decoder.decode(change.value).object
         except msgspec.MsgspecError as error:
             self.unreadable[name] = str(error)
             return None
         self.unreadable.pop(name, None)
-        value = encode_object(held) if held else b""
+        value = encode_object(stored_object) if stored_object else b""
         return StoredObject(name, change.mod_revision, value)
 
     def _decode_current(self, key: str, value: bytes, revision: int) -> CurrentObject:
--- a/src/cactuswalk/http/problems.py
+++ b/src/cactuswalk/http/problems.py
@@ -44,7 +44,7 @@
     INVALID_DEADLINE = "invalid_deadline"
     INVALID_SELECTOR = "invalid_selector"
     INVALID_KEY = "invalid_idempotency_key"
-    KEY_WITHOUT_BIRTH = "idempotency_key_without_birth"
+    KEY_WITHOUT_CREATION_TIME = "idempotency_key_without_birth"
     KEY_FROM_FUTURE = "idempotency_key_from_future"
     INCOMPLETE_BODY = "incomplete_body"
     MALFORMED_ANNOUNCEMENT = "malformed_announcement"
@@ -97,7 +97,7 @@
         400,
         "Use 1 to 128 letters, digits, '.', '_', ':', '~' or '-', ideally a UUIDv7.",
     ),
-    InputCode.KEY_WITHOUT_BIRTH: ProblemKind(
+    InputCode.KEY_WITHOUT_CREATION_TIME: ProblemKind(
         400,
         "Make the key a UUID version 7, or send Cactuswalk-First-Sent with the time "
         "(RFC 3339) at which you first sent it, the same with each resubmission.",
--- a/src/cactuswalk/http/upstream.py
+++ b/src/cactuswalk/http/upstream.py
@@ -127,7 +127,7 @@
 
     async def call(self, effect: CallUpstream) -> UpstreamAnswered:
         """Run a task at the upstream and return the outcome of the call."""
-        began, url = time.monotonic(), self.url
+        started_at, url = time.monotonic(), self.url
         connection = _ConnectionState()
         _connection.set(connection)
         outcome, status, body = UpstreamOutcome.UNCERTAIN, 0, b""
@@ -166,7 +166,7 @@
             outcome=outcome,
             status=status,
             body=body,
-            elapsed_ms=round((time.monotonic() - began) * 1000),
+            elapsed_ms=round((time.monotonic() - started_at) * 1000),
         )
 
     async def stop(self, effect: StopUpstream) -> bool:
