--- a/features/callers_support.py
+++ b/features/callers_support.py
@@ -1,4 +1,4 @@
-"""A callers' application before a fake entry, and how it is spoken to."""
+"""A callers' application with a fake entry, and helpers to send it requests."""
 
 import asyncio
 import datetime
@@ -13,7 +13,7 @@
     Outcome,
     TaskOutcome,
     TaskResult,
-    mint,
+    generate_identifier,
 )
 from cactuswalk.settings import CallerIdentity, HttpSettings, load_entry
 from cactuswalk.state.effects import Reply
@@ -21,14 +21,14 @@
 
 NOW = datetime.datetime(2026, 12, 2, 11, tzinfo=datetime.UTC).timestamp()
 NOW_MS = int(NOW * 1000)
-UUID7 = mint(NOW_MS - 5000, random.Random(7))
+UUID7 = generate_identifier(NOW_MS - 5000, random.Random(7))
 TOKEN = {"Authorization": "Bearer demo-desk-token"}
 OTHER_TOKEN = {"Authorization": "Bearer demo-gate-token"}
 SECRET = "body-of-a-task"
 
 
 class FakeEntry:
-    """Answers each task by its own body, or as a scenario says."""
+    """Answers each task with its own body, or as a scenario sets ``reply``."""
 
     def __init__(self):
         self.events, self.gone, self.cancelled = [], [], []
@@ -52,7 +52,7 @@
             event.waiter, event.job.submission, Outcome.ANSWERED, results, None
         )
 
-    async def late(self, event):
+    async def reply_when_released(self, event):
         await self.released.wait()
         return await self.echo(event)
 
@@ -64,11 +64,11 @@
     entry = context.entry = FakeEntry()
     callables = EntryCallables(
         submit=entry.submit,
-        gone=entry.gone.append,
+        caller_gone=entry.gone.append,
         cancel=entry.cancelled.append,
         query=entry.query,
         not_ready=list,
-        template=entry.templates.get,
+        find_template=entry.templates.get,
     )
     application = make_callers_application(
         settings, callables, lambda: NOW, random.Random(1)
@@ -103,7 +103,7 @@
 
 
 OK = b'{"pupil": 7}'
-TOMORROW = mint(NOW_MS + 86_400_000, random.Random(3))
+TOMORROW = generate_identifier(NOW_MS + 86_400_000, random.Random(3))
 
 
 def assert_problem(context, code, status, outcome):
--- a/features/operators_server.py
+++ b/features/operators_server.py
@@ -1,4 +1,4 @@
-"""An entry's operators' interface in a thread, over a fake service."""
+"""An operators' interface served by a thread, with a fake key-value service."""
 
 import asyncio
 import hashlib
@@ -8,7 +8,12 @@
 
 from cactuswalk.http.operators import OperatorsInterface, make_operators_application
 from cactuswalk.http.operators_store import ConfigurationKeys
-from cactuswalk.state.configuration import Replica, Spread, add_up, fold
+from cactuswalk.state.configuration import (
+    ConfigurationSync,
+    Replica,
+    count_by_state,
+    count_in_force,
+)
 from features.configuration_fakes import FakeService
 
 TOKEN = "token-of-ana"
@@ -16,12 +21,12 @@
 
 
 class OperatorsServer:
-    """The interface, what lies behind it, and where it listens."""
+    """The interface with its replica and service, and its HTTP server."""
 
     def __init__(self):
         self.service = FakeService()
         self.replica = Replica()
-        self.spread = Spread(self.replica)
+        self.sync = ConfigurationSync(self.replica)
         self.states = None
         self.logged = []
         self.explained = []
@@ -40,7 +45,7 @@
                 hashlib.sha256(token.encode()).hexdigest(): who
                 for token, who in ((TOKEN, "ana"), (OTHER_TOKEN, "ion"))
             },
-            publish=lambda update: self.spread.updated("", update, 0.0),
+            publish=lambda update: self.sync.on_update("", update, 0.0),
             status=lambda: {"entry": "e1", "configuration": self.replica.revision},
             explain=self.explain,
             in_force=self.in_force,
@@ -60,7 +65,7 @@
         states = self.states
         if states is None:
             states = [(self.replica.revision, self.replica.ahead)] * 3
-        return add_up(revision, [fold(states)])
+        return count_in_force(revision, [count_by_state(states)])
 
     def serve(self):
         asyncio.set_event_loop(self.loop)
--- a/features/steps/callers_steps.py
+++ b/features/steps/callers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what callers are answered."""
+"""Steps for the answers that callers get."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 from features.edges_support import run, until
 
 
-@given("a callers' application before a fake entry")
+@given("a callers' application with a fake entry")
 def step_application(context):
     open_callers(context)
 
@@ -76,17 +76,17 @@
     assert context.headers["Cactuswalk-Outcome"] == outcome
 
 
-@then('the entry was handed one request of team "{team}" with {ms:d} ms left')
+@then('the entry received one request of team "{team}" with {ms:d} ms left')
 def step_handed(context, team, ms):
     (event,) = context.entry.events
     job = event.job
     assert event.minted and job.request and not job.idempotent, event
-    assert (job.team, job.caller, job.born_ms) == (team, "depot-desk", NOW_MS), job
+    assert (job.team, job.caller, job.created_ms) == (team, "depot-desk", NOW_MS), job
     assert job.submission == f"{team}/{context.headers['Cactuswalk-Submission']}"
     assert ms - 5000 < event.remaining_ms <= ms, event
 
 
-@then("the entry was handed the declared work")
+@then("the entry received the declared work")
 def step_declared(context):
     (event,) = context.entry.events
     job, task = event.job, event.job.tasks[0]
@@ -110,7 +110,7 @@
     assert_problem(context, code, status, outcome)
 
 
-@then("the entry was handed nothing")
+@then("the entry received nothing")
 def step_nothing(context):
     assert context.entry.events == []
 
@@ -118,7 +118,7 @@
 @given("{count:d} caller may wait at a time")
 def step_limit(context, count):
     context.settings.limits.waiting_requests = count
-    context.entry.reply = context.entry.late
+    context.entry.reply = context.entry.reply_when_released
 
 
 @when("a caller waits and another posts with a key of its own")
@@ -150,12 +150,12 @@
     run(context, end())
 
 
-@then("the caller is told to come back after {seconds:d} s")
+@then("the caller gets Retry-After {seconds:d} s")
 def step_retry_after(context, seconds):
     assert context.headers["Retry-After"] == str(seconds), context.headers
 
 
-@then("each refusal code is told with each outcome, status, remedy and Retry-After")
+@then("each refusal code is returned with each outcome, status, remedy and Retry-After")
 def step_refusals(context):
     for code in RefusalCode:
         for outcome in (Outcome.NOT_RUN, Outcome.FAILED, Outcome.UNKNOWN):
@@ -205,7 +205,7 @@
 
 @given("the entry does not reply")
 def step_no_reply(context):
-    context.entry.reply = context.entry.late
+    context.entry.reply = context.entry.reply_when_released
 
 
 @then("the problem holds nothing of any task's body")
@@ -213,7 +213,7 @@
     assert SECRET.encode() not in context.body, context.body
 
 
-async def send_head(context):
+async def send_headers(context):
     streams = await asyncio.open_connection("127.0.0.1", context.server.port)
     head = "POST /v1/services/booking/requests HTTP/1.1\r\nHost: x\r\n"
     head += f"Authorization: {TOKEN['Authorization']}\r\nContent-Length: 12\r\n\r\n"
@@ -221,16 +221,16 @@
     return streams
 
 
-@when("{count:d} callers send their heads, and their bodies later")
+@when("{count:d} callers send their headers, and their bodies later")
 def step_late_bodies(context, count):
     async def send_all():
-        streams = [await send_head(context) for _ in range(count)]
+        streams = [await send_headers(context) for _ in range(count)]
         await asyncio.sleep(0.05)
         for _, writer in streams:
             writer.write(OK)
         reading = [asyncio.create_task(r.readuntil(b"}")) for r, _ in streams]
         await until(lambda: sum(task.done() for task in reading) == count - 1)
-        context.handed = len(context.entry.events)
+        context.submitted = len(context.entry.events)
         context.entry.released.set()
         context.raw_answers = await asyncio.gather(*reading)
         for _, writer in streams:
@@ -239,17 +239,17 @@
     run(context, send_all())
 
 
-@then('{handed:d} of them is handed on and {refused:d} are told "{code}"')
-def step_late_bodies_refused(context, handed, refused, code):
-    assert context.handed == handed, context.handed
-    told = [f'"code":"{code}"'.encode() in raw for raw in context.raw_answers]
-    assert told.count(True) == refused, context.raw_answers
+@then('{submitted:d} of them is submitted and {refused:d} are refused as "{code}"')
+def step_late_bodies_refused(context, submitted, refused, code):
+    assert context.submitted == submitted, context.submitted
+    refusals = [f'"code":"{code}"'.encode() in raw for raw in context.raw_answers]
+    assert refusals.count(True) == refused, context.raw_answers
 
 
 @when("a caller posts a request and closes its connection")
 def step_close(context):
     async def post_and_close():
-        _, writer = await send_head(context)
+        _, writer = await send_headers(context)
         writer.write(OK)
         await until(lambda: context.entry.events)
         writer.close()
@@ -258,13 +258,13 @@
     run(context, post_and_close())
 
 
-@then("the entry is told that the caller is gone")
+@then("the entry is notified that the caller is gone")
 def step_gone(context):
     (event,) = context.entry.events
     assert [gone.waiter for gone in context.entry.gone] == [event.waiter]
 
 
-@when("the server stops while a caller waits, and the reply comes then")
+@when("the server stops while a caller waits, and the reply arrives afterwards")
 def step_stop(context):
     async def stop_and_reply():
         async with aiohttp.ClientSession() as session:
@@ -292,12 +292,12 @@
     return False
 
 
-@then("the server takes no more connections")
+@then("the server accepts no more connections")
 def step_no_connections(context):
     assert context.refused
 
 
-@then("the caller gets status 202 and a place to ask")
+@then("the caller gets status 202 and the location of the state")
 def step_accepted(context):
     assert context.status == 202, context.body
     assert context.headers["Preference-Applied"] == "respond-async"
@@ -320,7 +320,7 @@
     return state
 
 
-@then('the state there is "{first}", and "{last}" with the whole answer later')
+@then('the state there is "{first}", and "{last}" with the complete answer later')
 def step_states(context, first, last):
     for answered, name in ((False, first), (True, last)):
         context.entry.state = state_of(context, answered)
@@ -341,7 +341,7 @@
     assert cancelled == [event.job.submission], cancelled
 
 
-@then('another team gets "{code}" for it, and its cancel stops nothing')
+@then('another team gets "{code}" for it, and can\'t cancel it')
 def step_other_team(context, code):
     for method in ("GET", "DELETE"):
         send(context, method, context.location, token=OTHER_TOKEN)
@@ -349,7 +349,7 @@
     assert len(context.entry.cancelled) == 1
 
 
-@then('"{code}" comes for it while no owner answers')
+@then('its state is "{code}" while no owner answers')
 def step_no_owner(context, code):
     context.entry.state = None
     send(context, "GET", context.location)
--- a/features/steps/configuration_workers_steps.py
+++ b/features/steps/configuration_workers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what the configuration makes of workers."""
+"""Steps for the effect of the configuration on workers."""
 
 import hypothesis.strategies as st
 from behave import given, then, when
@@ -6,7 +6,7 @@
 
 from cactuswalk.http.operators_changes import ChangeRequest
 from cactuswalk.messages import ConfigurationUpdate, StoredObject
-from cactuswalk.model import Announcement, Capacity, matches, parse
+from cactuswalk.model import Announcement, Capacity, matches, parse_selector
 from cactuswalk.model.configuration import (
     Service,
     WorkerEntry,
@@ -53,7 +53,7 @@
 
 @st.composite
 def selectors(draw):
-    """Draw a selector in the grammar's words."""
+    """Draw a valid selector."""
     requirements = []
     for _ in range(draw(st.integers(0, 3))):
         label, values = draw(WORD), draw(st.lists(WORD, min_size=1, max_size=3))
@@ -77,17 +77,17 @@
         request = ChangeRequest(
             *("service/s", 0, "id1", "ana", 1, "replace"), lambda before: wanted
         )
-        drive(cluster.changes[0].make(request))
+        drive(cluster.changes[0].apply(request))
         cluster.settle(rounds=2)
         found = cluster.nodes["agent0.0"].replica.get("service", "s")
         assert (found.labels, found.selector) == (labels, selector)
-        expected = matches(parse(selector), labels)
-        assert matches(parse(found.selector), found.labels) == expected
+        expected = matches(parse_selector(selector), labels)
+        assert matches(parse_selector(found.selector), found.labels) == expected
         context.round_trips += 1
 
     write()
 
 
-@then("each came back as it was given, and selects the same workers")
+@then("each is read back unchanged and selects the same workers")
 def step_came_back(context):
     assert context.round_trips >= 200, context.round_trips
--- a/features/steps/guard_steps.py
+++ b/features/steps/guard_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the guard in the agent's reducer."""
+"""Steps for the memory guard in the agent's reducer."""
 
 import json
 
@@ -15,8 +15,8 @@
     TaskSpec,
 )
 from cactuswalk.state import agent as agents
-from cactuswalk.state.configuration import Replica, Spread
-from cactuswalk.state.effects import Count, Send, SteerUpstream, StopUpstream
+from cactuswalk.state.configuration import ConfigurationSync, Replica
+from cactuswalk.state.effects import ControlUpstream, Count, Send, StopUpstream
 from cactuswalk.state.events import (
     Announced,
     TaskUsage,
@@ -24,21 +24,21 @@
     UpstreamOutcome,
     UsageReported,
 )
-from cactuswalk.state.gate import Gate, take_epoch
-from cactuswalk.state.retention import RECORD_BYTES, RecordBook
+from cactuswalk.state.gate import Gate, accept_epoch
+from cactuswalk.state.retention import RECORD_BYTES, RecordStore
 from features.edges_support import request
 from features.steps.once_gate_steps import OWNER, SELF, make_start
 
 
 @given("a guarded worker that runs {tasks}")
 def step_worker(context, tasks):
-    records = RecordBook(600.0, 100 * RECORD_BYTES)
-    copies = RecordBook(600.0, 100 * RECORD_BYTES)
+    records = RecordStore(600.0, 100 * RECORD_BYTES)
+    copies = RecordStore(600.0, 100 * RECORD_BYTES)
     gate = Gate(SELF, records, 1.0)
     context.now = 50.0
-    assert take_epoch(gate, 3, OWNER)
-    spread = Spread(Replica())
-    context.agent = agents.new_agent("cell", gate, copies, spread, 20.0, context.now)
+    assert accept_epoch(gate, 3, OWNER)
+    sync = ConfigurationSync(Replica())
+    context.agent = agents.new_agent("cell", gate, copies, sync, 20.0, context.now)
     worker = Announcement(
         SELF.worker, "routes", "dc", "rack", {}, Capacity(8, memory_mb=1000)
     )
@@ -81,7 +81,7 @@
     report(context, text)
 
 
-def wish_of(effect):
+def format_action(effect):
     if isinstance(effect, StopUpstream):
         return f"stop {effect.submission}/{effect.attempt}"
     action = "lift" if effect.factor == 1.0 else effect.action.value
@@ -89,19 +89,21 @@
     return f"{action} {effect.submission}/{effect.attempt}"
 
 
-def wishes(context):
-    kinds = (StopUpstream, SteerUpstream)
-    return [wish_of(one) for one in context.agent.effects if isinstance(one, kinds)]
+def requested_actions(context):
+    kinds = (StopUpstream, ControlUpstream)
+    return [
+        format_action(one) for one in context.agent.effects if isinstance(one, kinds)
+    ]
 
 
 @then('the guard asks for "{text}"')
 def step_asks(context, text):
-    assert wishes(context) == text.split(", "), context.agent.effects
+    assert requested_actions(context) == text.split(", "), context.agent.effects
 
 
 @then("the guard asks for nothing")
 def step_asks_nothing(context):
-    assert not wishes(context), context.agent.effects
+    assert not requested_actions(context), context.agent.effects
 
 
 @then("{count:d} tasks of the report were stale")
@@ -126,14 +128,14 @@
     assert result.outcome == outcome and words in result.reason, result
 
 
-@when("the upstream reports its use as {body}")
+@when("the upstream reports its usage as {body}")
 def step_report_body(context, body):
     context.status, _, context.body = request(
         context, "POST", f"{context.agent_url}/usage", data=body.encode()
     )
 
 
-@then('the report of use is refused as "{code}"')
+@then('the usage report is refused as "{code}"')
 def step_refused(context, code):
     assert context.status == 400, context.status
     assert not context.reported, context.reported
@@ -161,7 +163,12 @@
         for started in context.scheduler.assign(context.now):
             place = (started.task.job.submission, 0, started.worker)
             failed = started.worker == "w1"
-            ending = (not failed, 100, context.now + 0.1, failed and result.guarded)
+            ending = (
+                not failed,
+                100,
+                context.now + 0.1,
+                failed and result.is_stopped_by_guard,
+            )
             context.scheduler.record_result(*place, *ending)
         context.now += 0.2
 
--- a/features/steps/once_gate_steps.py
+++ b/features/steps/once_gate_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gate beside a worker."""
+"""Steps for the gate of an agent."""
 
 from behave import given, then, when
 
@@ -7,16 +7,16 @@
 from cactuswalk.model import Member, TaskOutcome, TaskResult, TaskSpec, TaskState
 from cactuswalk.state.gate import (
     Gate,
+    accept_epoch,
     check_start,
+    record_decline,
     record_start,
-    take_epoch,
-    tombstone,
 )
-from cactuswalk.state.retention import RECORD_BYTES, RecordBook
+from cactuswalk.state.retention import RECORD_BYTES, RecordStore
 
 NOW = 50.0
-OWNER = Member("worker-1", "owner-life", "tcp://worker-1")
-SELF = Member("worker-2", "this-life", "tcp://worker-2")
+OWNER = Member("worker-1", "owner-incarnation", "tcp://worker-1")
+SELF = Member("worker-2", "this-incarnation", "tcp://worker-2")
 
 
 def make_start(**changes) -> Start:
@@ -40,19 +40,19 @@
 
 @given("a gate of two slots that has confirmed epoch 3")
 def step_gate(context):
-    records = RecordBook(600.0, 100 * RECORD_BYTES)
+    records = RecordStore(600.0, 100 * RECORD_BYTES)
     context.gate = Gate(SELF, records, 1.0, slots=2)
-    assert take_epoch(context.gate, 3, OWNER)
+    assert accept_epoch(context.gate, 3, OWNER)
 
 
 def offer(context, start: Start, now: float = NOW):
     context.start = start
-    context.verdict = check_start(context.gate, start, now)
-    if context.verdict.passes:
+    context.decision = check_start(context.gate, start, now)
+    if context.decision.is_allowed:
         record_start(context.gate, start, now)
-    elif not context.verdict.repeat:
-        tombstone(context.gate, start, now)
-    return context.verdict
+    elif not context.decision.is_duplicate:
+        record_decline(context.gate, start, now)
+    return context.decision
 
 
 def end(context, index: int = 0) -> None:
@@ -85,20 +85,20 @@
     offer(context, make_start(stamp=stamp, remaining_ms=left))
 
 
-@when("it is offered a start for another life")
-def step_other_life(context):
-    offer(context, make_start(incarnation="earlier-life"))
+@when("it is offered a start for another incarnation")
+def step_other_incarnation(context):
+    offer(context, make_start(incarnation="earlier-incarnation"))
 
 
 @then("the start is declined")
 def step_declined(context):
-    assert not context.verdict.passes and not context.verdict.repeat
-    assert context.verdict.reason
+    assert not context.decision.is_allowed and not context.decision.is_duplicate
+    assert context.decision.reason
 
 
-@then("the start passes")
+@then("the start is allowed")
 def step_passes(context):
-    assert context.verdict.passes, context.verdict
+    assert context.decision.is_allowed, context.decision
 
 
 @then("the start is declined and leaves no record")
@@ -109,22 +109,22 @@
 
 @when("it is offered the same start twice")
 def step_twice(context):
-    assert offer(context, make_start()).passes
+    assert offer(context, make_start()).is_allowed
     context.second = offer(context, make_start())
 
 
-@then("the second is a repeat, also after the task has ended")
-def step_repeat(context):
-    assert context.second.repeat and not context.second.passes
+@then("the second is a duplicate, also after the task has ended")
+def step_duplicate(context):
+    assert context.second.is_duplicate and not context.second.is_allowed
     end(context)
     again = offer(context, make_start())
-    assert again.repeat and not again.passes
+    assert again.is_duplicate and not again.is_allowed
 
 
 def fill_slots(context) -> None:
-    assert offer(context, make_start(index=1, total=3)).passes
-    assert offer(context, make_start(index=2, total=3)).passes
-    assert not offer(context, make_start(total=3)).passes
+    assert offer(context, make_start(index=1, total=3)).is_allowed
+    assert offer(context, make_start(index=2, total=3)).is_allowed
+    assert not offer(context, make_start(total=3)).is_allowed
     end(context, 1)
 
 
@@ -136,7 +136,7 @@
 
 @then("the copy is declined")
 def step_copy_declined(context):
-    assert not context.verdict.passes and not context.verdict.repeat
+    assert not context.decision.is_allowed and not context.decision.is_duplicate
 
 
 @when("a start is declined since the slots are taken, and a later attempt comes")
@@ -145,14 +145,14 @@
     offer(context, make_start(total=3, attempt=11), NOW + 0.5)
 
 
-@then("the later attempt passes")
+@then("the later attempt is allowed")
 def step_later_passes(context):
-    assert context.verdict.passes
+    assert context.decision.is_allowed
 
 
 @when("a task has ended and a later attempt of it comes")
 def step_ended(context):
-    assert offer(context, make_start()).passes
+    assert offer(context, make_start()).is_allowed
     end(context)
     offer(context, make_start(attempt=11))
 
@@ -164,24 +164,24 @@
 
 @then("it is not started")
 def step_not_started(context):
-    assert not context.verdict.passes
+    assert not context.decision.is_allowed
 
 
 @then("it is started")
 def step_started(context):
-    assert context.verdict.passes
+    assert context.decision.is_allowed
 
 
 @when("the records are full and a start comes")
 def step_full(context):
     context.gate.records.maximum_bytes = RECORD_BYTES
-    assert offer(context, make_start(index=1, total=2)).passes
+    assert offer(context, make_start(index=1, total=2)).is_allowed
     offer(context, make_start(total=2))
 
 
-@when("more answers are recorded than there is room for")
+@when("more answers are recorded than there is space for")
 def step_many(context):
-    context.book = RecordBook(600.0, 20 * RECORD_BYTES)
+    context.book = RecordStore(600.0, 20 * RECORD_BYTES)
     for index in range(12):
         result = TaskResult(index, TaskOutcome.DONE, 200, b"x" * RECORD_BYTES)
         record = Record(
@@ -201,9 +201,9 @@
     assert "no longer kept" in records[0].result.reason
 
 
-@when("{count:d} requests are recorded in a book with room for {room:d}")
-def step_forgotten(context, count, room):
-    context.book = RecordBook(600.0, room * RECORD_BYTES)
+@when("{count:d} requests are recorded in a book with space for {space:d}")
+def step_evicted(context, count, space):
+    context.book = RecordStore(600.0, space * RECORD_BYTES)
     for number in range(count):
         result = TaskResult(0, TaskOutcome.DONE, 200)
         record = Record(
@@ -239,7 +239,7 @@
 @when("another agent claims the epoch in force")
 def step_claim(context):
     try:
-        take_epoch(context.gate, 3, Member("worker-9", "other", "tcp://worker-9"))
+        accept_epoch(context.gate, 3, Member("worker-9", "other", "tcp://worker-9"))
     except CactuswalkError as error:
         context.error = error
 
--- a/src/cactuswalk/http/operators_changes.py
+++ b/src/cactuswalk/http/operators_changes.py
@@ -1,4 +1,4 @@
-"""Make an operator's change in the key-value service, once or not at all."""
+"""Write operators' changes to the key-value service, at most once."""
 
 from collections.abc import Callable
 
@@ -8,13 +8,13 @@
     ConflictError,
     ObjectNotFoundError,
     OutcomeUnknownError,
-    ServiceAwayError,
-    ServiceWentBackError,
+    ServiceRolledBackError,
+    ServiceUnavailableError,
 )
 from cactuswalk.http.operators_store import (
     Change,
     ConfigurationKeys,
-    Current,
+    CurrentObject,
     encode_stored,
 )
 from cactuswalk.messages import ConfigurationUpdate, StoredObject
@@ -22,22 +22,22 @@
 from cactuswalk.state.configuration import Replica
 from cactuswalk.state.events import SwapOutcome
 
-__all__ = ["Accepted", "ChangeRequest", "Changes", "difference"]
+__all__ = ["ChangeResult", "ChangeRequest", "ChangeWriter", "describe_difference"]
 
-# A line of history is for people; an object of many long labels would fill
-# the service's value with its own past.
-MAXIMUM_LINES = 20
-MAXIMUM_LINE = 200
+# The difference in the history is for display only; unbounded, the history of an
+# object with many long labels would fill its value in the service.
+MAX_DIFFERENCE_LINES = 20
+MAX_DIFFERENCE_LINE_LENGTH = 200
 
 
 class ChangeRequest(msgspec.Struct):
-    """What an operator wants of one object.
+    """An operator's change of one object.
 
-    :param expected: revision that the change builds on; 0 for a new object.
-    :param write_id: unique; the same one again is the same change.
-    :param make: returns the object after the change, None to delete it, and
-        raises ``ConfigurationError`` if it would be wrong.
-    :param at_ms: wall clock, for people.
+    :param expected: revision that the change is based on; 0 for a new object.
+    :param write_id: unique per change; a request with the same ID is a retry.
+    :param at_ms: wall clock in milliseconds, for display only.
+    :param make: returns the object after the change, None to delete it; raises
+        ``ConfigurationError`` if the result would be invalid.
     """
 
     key: str
@@ -50,10 +50,11 @@
     dry_run: bool = False
 
 
-class Accepted(msgspec.Struct):
-    """A change that was made, or would be.
+class ChangeResult(msgspec.Struct):
+    """A change that was written or, with ``written`` False, would be.
 
-    :param revision: of the object; with ``written`` False the one it has now.
+    :param revision: revision of the object: the new one if ``written``, else the
+        current one.
     """
 
     key: str
@@ -64,12 +65,12 @@
     written: bool
 
 
-class Changes:
-    """Writes changes, and hands what was accepted to the replica at once.
+class ChangeWriter:
+    """Writes changes, and publishes accepted ones to the replica at once.
 
     :param publish: called with an update for this entry's replica. The watch
-        brings the same change, unless the service goes away just after the
-        write; then this is the only path by which an accepted change spreads.
+        delivers the same change, unless the service becomes unavailable right after
+        the write; then an accepted change spreads by this path only.
     """
 
     __slots__ = ("keys", "replica", "publish")
@@ -84,49 +85,54 @@
         self.replica = replica
         self.publish = publish
 
-    async def make(self, request: ChangeRequest) -> Accepted:
-        """Make a change.
+    async def apply(self, request: ChangeRequest) -> ChangeResult:
+        """Apply a change.
 
-        :raises ConflictError: another came first; this one will not be made.
-        :raises ServiceAwayError: nothing was written.
-        :raises OutcomeUnknownError: it may have been written.
+        :raises ConflictError: the object was changed first; this change will not be
+            written.
+        :raises ServiceUnavailableError: nothing was written, except for
+            ``ServiceRolledBackError`` raised after the write.
+        :raises OutcomeUnknownError: the change may have been written.
         """
-        held = self.replica.revision
-        await self._check_service(held)
+        held_revision = self.replica.revision
+        await self._check_service(held_revision)
         current = await self.keys.read(request.key)
         if request.write_id and current.find(request.write_id):
-            return self._accept_found(request, current)
+            return self._accept_recorded(request, current)
         check_precondition(request, current)
         after = request.make(current.object)
-        lines = difference(current.object, after)
-        unchanged = Accepted(
+        lines = describe_difference(current.object, after)
+        unchanged = ChangeResult(
             request.key, current.revision, after, lines, request.write_id, False
         )
         if request.dry_run or not lines:
             return unchanged
-        return await self._write(request, current, after, lines, held)
+        return await self._write(request, current, after, lines, held_revision)
 
-    async def _check_service(self, held: int) -> None:
-        """Refuse to write to a service that has lost what is in force.
+    async def _check_service(self, held_revision: int) -> None:
+        """Raise if the service has lost changes that are in force.
 
-        It would accept the write under a revision that no node takes: the
-        operator would see success and nothing would ever change.
+        It would accept the write with a revision that no node accepts: the operator
+        would see success, but the change would never take effect.
         """
-        shown = await self.keys.revision()
-        if shown < held:
-            raise ServiceWentBackError(held, shown, written=False)
+        service_revision = await self.keys.revision()
+        if service_revision < held_revision:
+            raise ServiceRolledBackError(held_revision, service_revision, written=False)
 
     async def _write(
         self,
         request: ChangeRequest,
-        current: Current,
+        current: CurrentObject,
         after: OperatorObject | None,
         lines: list[str],
-        held: int,
-    ) -> Accepted:
+        held_revision: int,
+    ) -> ChangeResult:
         change = Change(
             *(request.write_id, request.who, request.at_ms, request.action),
-            [line[:MAXIMUM_LINE] for line in lines[:MAXIMUM_LINES]],
+            [
+                line[:MAX_DIFFERENCE_LINE_LENGTH]
+                for line in lines[:MAX_DIFFERENCE_LINES]
+            ],
         )
         value = encode_stored(current.next_value(after, change))
         key = self.keys.prefix + request.key
@@ -134,44 +140,46 @@
             key, current.revision, value, request.write_id
         )
         if swapped.outcome is not SwapOutcome.APPLIED:
-            return await self._settle(request, current.revision, swapped.outcome)
-        if swapped.revision <= held:
-            raise ServiceWentBackError(held, swapped.revision, written=True)
+            return await self._resolve_swap(request, current.revision, swapped.outcome)
+        if swapped.revision <= held_revision:
+            raise ServiceRolledBackError(held_revision, swapped.revision, written=True)
         self._publish(request.key, after, swapped.revision, [swapped.revision])
-        return Accepted(
+        return ChangeResult(
             request.key, swapped.revision, after, lines, request.write_id, True
         )
 
-    async def _settle(
+    async def _resolve_swap(
         self, request: ChangeRequest, expected: int, outcome: SwapOutcome
-    ) -> Accepted:
-        """Find out what became of a swap that did not say that it applied.
+    ) -> ChangeResult:
+        """Determine the outcome of a swap that was not reported as applied.
 
-        The reply may have been lost after the write took effect, or a repeat
-        of the write may have lost against the first copy of itself.
+        The reply may have been lost after the write took effect, or a retry of the
+        write may have lost against its own first copy.
         """
         try:
             current = await self.keys.read(request.key)
-        except ServiceAwayError:
+        except ServiceUnavailableError:
             raise OutcomeUnknownError(request.key, request.write_id) from None
         if current.find(request.write_id):
-            return self._accept_found(request, current)
-        # While the key is at the expected revision, a write that is still on
-        # its way can take effect; once it has moved on, never.
+            return self._accept_recorded(request, current)
+        # While the key is at the expected revision, a write still in flight can
+        # take effect; at a later revision it no longer can.
         pending = current.revision == expected and outcome is SwapOutcome.UNKNOWN
-        if pending or not current.covers(expected):
+        if pending or not current.has_all_changes_since(expected):
             raise OutcomeUnknownError(request.key, request.write_id)
-        raise conflict(request, current)
-
-    def _accept_found(self, request: ChangeRequest, current: Current) -> Accepted:
-        """Accept a write that is found in the object's history."""
-        found = current.find(request.write_id)
-        # The replica compares revisions; a value that a service with lost data
-        # shows is refused there.
-        ahead = sorted({found.revision, current.revision})
+        raise make_conflict_error(request, current)
+
+    def _accept_recorded(
+        self, request: ChangeRequest, current: CurrentObject
+    ) -> ChangeResult:
+        """Return the result of a write that the object's history contains."""
+        recorded = current.find(request.write_id)
+        # The replica compares revisions and rejects a value from a service that has
+        # lost data.
+        ahead = sorted({recorded.revision, current.revision})
         self._publish(request.key, current.object, current.revision, ahead)
-        return Accepted(
-            *(request.key, found.revision, current.object, found.difference),
+        return ChangeResult(
+            *(request.key, recorded.revision, current.object, recorded.difference),
             *(request.write_id, True),
         )
 
@@ -179,29 +187,31 @@
         self, key: str, after: OperatorObject | None, revision: int, ahead: list[int]
     ) -> None:
         value = encode_object(after) if after else b""
-        held = self.replica.revision
+        held_revision = self.replica.revision
         stored = StoredObject(key, revision, value)
-        self.publish(ConfigurationUpdate(held, held, [stored], ahead))
+        self.publish(ConfigurationUpdate(held_revision, held_revision, [stored], ahead))
 
 
-def check_precondition(request: ChangeRequest, current: Current) -> None:
-    """Raise unless the object is at the revision that the change builds on."""
+def check_precondition(request: ChangeRequest, current: CurrentObject) -> None:
+    """Raise unless the object is at the revision that the change is based on."""
     if current.object is None:
         if request.expected == 0:
             return
         if not current.history:
             raise ObjectNotFoundError(
-                f"there is no {request.key}", "See `cactuswalk get` for what there is."
+                f"there is no {request.key}", "Run `cactuswalk get` for a list."
             )
-        raise conflict(request, current)
+        raise make_conflict_error(request, current)
     if request.expected != current.revision:
-        raise conflict(request, current)
+        raise make_conflict_error(request, current)
 
 
-def conflict(request: ChangeRequest, current: Current) -> ConflictError:
-    """Return the error that tells the loser of a race who has won."""
+def make_conflict_error(
+    request: ChangeRequest, current: CurrentObject
+) -> ConflictError:
+    """Return the conflict error with the newest change of the object."""
     if not current.history:
-        return ConflictError(f"{request.key} has changed meanwhile", 0, "", 0)
+        return ConflictError(f"{request.key} was changed meanwhile", 0, "", 0)
     newest = current.history[0]
     state = "exists" if current.object else "was deleted"
     return ConflictError(
@@ -211,11 +221,11 @@
     )
 
 
-def difference(
+def describe_difference(
     before: OperatorObject | None, after: OperatorObject | None
 ) -> list[str]:
-    """Return a line for each field that a change changes."""
-    old, new = flatten(before), flatten(after)
+    """Return the removed and added lines for the fields that differ."""
+    old, new = flatten_fields(before), flatten_fields(after)
     lines = []
     for field in sorted(old.keys() | new.keys()):
         if old.get(field) == new.get(field):
@@ -225,8 +235,8 @@
     return lines
 
 
-def flatten(value: OperatorObject | None) -> dict[str, str]:
-    """Return an object's fields as JSON texts, each label a field."""
+def flatten_fields(value: OperatorObject | None) -> dict[str, str]:
+    """Return an object's fields as JSON texts, with one field per label."""
     if value is None:
         return {}
     fields = msgspec.to_builtins(value)
--- a/src/cactuswalk/runtime/entry.py
+++ b/src/cactuswalk/runtime/entry.py
@@ -10,7 +10,7 @@
 from cactuswalk.decisions.leaving import EntryShutdown
 from cactuswalk.http.callers import EntryCallables, make_callers_application
 from cactuswalk.http.operators import make_operators_application
-from cactuswalk.http.operators_store import ConfigurationKeys, follow
+from cactuswalk.http.operators_store import ConfigurationKeys, follow_configuration
 from cactuswalk.http.server import HttpServer
 from cactuswalk.messages import ConfigurationUpdate, JobState
 from cactuswalk.model.configuration import JobTemplate
@@ -19,8 +19,8 @@
 from cactuswalk.settings import EntrySettings
 from cactuswalk.state.effects import Reply, ReplyState
 from cactuswalk.state.entry import EntryState, handle_entry, new_entry
-from cactuswalk.state.events import CallerAsked, CallerSubmitted, ConfigurationChanged
-from cactuswalk.state.readiness import reasons_against
+from cactuswalk.state.events import CallerQueried, CallerSubmitted, ConfigurationChanged
+from cactuswalk.state.readiness import unready_reasons
 from cactuswalk.state.timing import Timing
 
 __all__ = ["EntryProcess"]
@@ -87,14 +87,16 @@
             application.add_hook(self._open_operators, self._close_operators)
 
     def _find_template(self, name: str) -> JobTemplate | None:
-        found = self.state.spread.replica.get("job", name)
+        found = self.state.sync.replica.get("job", name)
         return found if isinstance(found, JobTemplate) else None
 
     async def _start_watches(self) -> None:
         """Start watches of the cells and the configuration."""
         self.configuration_keys = ConfigurationKeys(self.runtime.store)
         self.application.spawn(self.runtime.key_value.watch("cells/"))
-        self.application.spawn(follow(self.configuration_keys, self._publish))
+        self.application.spawn(
+            follow_configuration(self.configuration_keys, self._publish)
+        )
 
     async def _do_nothing(self) -> None:
         """Do nothing: the application cancels the watches itself."""
@@ -133,7 +135,7 @@
         request = str(next(self.serial))
         future = asyncio.get_running_loop().create_future()
         self.state_queries[request] = future
-        self.application.feed(CallerAsked(request, submission, service))
+        self.application.feed(CallerQueried(request, submission, service))
         try:
             return await future
         finally:
@@ -166,4 +168,4 @@
     def _list_unready_reasons(self, now: float) -> list[str]:
         if self.application.stopping:
             return ["this entry is stopping"]
-        return reasons_against(self.state, now)
+        return unready_reasons(self.state, now)
--- a/src/cactuswalk/state/answers.py
+++ b/src/cactuswalk/state/answers.py
@@ -1,4 +1,4 @@
-"""Final answers: given once, kept for the retention window, sent to waiters."""
+"""Final answers: given once, kept for the retention window, sent to entries."""
 
 import msgspec
 
@@ -13,38 +13,44 @@
     TaskResult,
     TaskSpec,
 )
-from cactuswalk.state.agent import stamp_of
-from cactuswalk.state.answered import Answered, answered_of, pack, unpack
-from cactuswalk.state.ledger import Tracked, answer_of
+from cactuswalk.state.agent import make_stamp
+from cactuswalk.state.answered import Answered, pack, pack_answered, unpack
+from cactuswalk.state.ledger import TrackedJob, make_answer
 from cactuswalk.state.owner import OwnerState
 
-__all__ = ["find", "forget_oldest", "give_answer", "keep", "refuse", "send_answer"]
+__all__ = [
+    "find_submission",
+    "evict_oldest",
+    "give_answer",
+    "update_answered",
+    "refuse_submission",
+    "send_answer",
+]
 
 
-# Answered submissions younger than this are never forgotten: three times the
-# clocks' margins, so that new keys stay well clear of what is forgotten.
-KEPT_AT_LEAST = 10.0
+# Answered submissions younger than this are never evicted: three times the clock
+# margins, so that a new key is never mistaken for an evicted one.
+MIN_KEPT_SECONDS = 10.0
 
-# One list for all answered submissions; nobody adds to the tasks of a job.
+# Shared by all answered submissions; the tasks of a job are never modified.
 NO_TASKS: list[TaskSpec] = []
 
 
 def give_answer(
-    state: OwnerState, tracked: Tracked, refusal: Refusal | None, now: float
+    state: OwnerState, tracked: TrackedJob, refusal: Refusal | None, now: float
 ) -> None:
-    """Give a submission its final answer, at once, to all who wait for it.
+    """Answer a submission and send the answer to every entry that waits for it.
 
-    :raises InvariantError: if it has one already, or if it would be partial.
+    :raises InvariantError: if it is already answered, or the answer is incomplete.
     """
     job = tracked.job
     if tracked.answer is not None:
         raise InvariantError(
             f"{job.submission} would be answered twice",
-            "Report this with the owner's log; the first answer stands.",
+            "Report this with the owner's log; the first answer remains valid.",
         )
-    tracked.answer = answer_of(tracked, refusal, state.is_confirmed(now))
-    # The rest of it has served its turn; the fingerprint is enough to recognise a
-    # resubmission.
+    tracked.answer = make_answer(tracked, refusal, state.is_confirmed(now))
+    # Only the fingerprint is still needed, to recognise a resubmission.
     tracked.job = Job(job.submission, job.fingerprint, "", "", NO_TASKS)
     state.count(f"answer.{tracked.answer.outcome}")
     state.log(
@@ -55,16 +61,16 @@
     )
     for address, attempt in tracked.waiters.items():
         send_answer(state, tracked.answer, address, attempt, now)
-    _take_leave(state, tracked, now)
-    _make_room(state, now)
+    _move_to_answered(state, tracked, now)
+    _enforce_limits(state, now)
 
 
-def _take_leave(state: OwnerState, tracked: Tracked, now: float) -> None:
-    """Move an answered submission from the open ones to the kept ones."""
+def _move_to_answered(state: OwnerState, tracked: TrackedJob, now: float) -> None:
+    """Move a submission from the open ones to the answered ones."""
     name = tracked.job.submission
     state.open.pop(name, None)
     state.ledger.pop(name, None)
-    answered = answered_of(tracked, now + state.timing.retention)
+    answered = pack_answered(tracked, now + state.timing.retention)
     state.answered[name] = answered
     state.kept.append(answered)
     state.kept_bytes += answered.kept_bytes
@@ -73,10 +79,10 @@
         state.body_bytes += answered.body_bytes
 
 
-def find(state: OwnerState, submission: str) -> Tracked | None:
-    """Return a submission, open or answered; None if it is not known here.
+def find_submission(state: OwnerState, submission: str) -> TrackedJob | None:
+    """Return an open or answered submission; None if it is unknown.
 
-    What is changed of an answered one has to be kept with ``keep``.
+    Changes to an answered one have to be stored with ``update_answered``.
     """
     tracked = state.ledger.get(submission)
     if tracked is not None:
@@ -85,33 +91,33 @@
     return unpack(answered) if answered is not None else None
 
 
-def keep(state: OwnerState, tracked: Tracked) -> None:
-    """Keep what has changed of an answered submission."""
+def update_answered(state: OwnerState, tracked: TrackedJob) -> None:
+    """Store the changes to an answered submission."""
     answered = state.answered[tracked.job.submission]
     state.kept_bytes -= answered.kept_bytes
     answered.packed = pack(tracked)
     state.kept_bytes += answered.kept_bytes
 
 
-def _make_room(state: OwnerState, now: float) -> None:
-    """Keep within the bounds, of bodies and of submissions.
+def _enforce_limits(state: OwnerState, now: float) -> None:
+    """Drop bodies and evict submissions until both are within their limits.
 
-    No submission is forgotten while it is young. A key is told from a forgotten one by
-    its birth, which clocks blur by some seconds; were the youngest forgotten,
-    new submissions would be taken for old ones and not be run.
+    Submissions younger than ``MIN_KEPT_SECONDS`` are never evicted. New keys are
+    told from evicted ones by their time of creation, which is only known to some
+    seconds; if young submissions were evicted, new ones would be refused as old.
     """
     while state.body_bytes > state.maximum_bytes and state.with_bodies:
         _drop_bodies(state, state.with_bodies.popleft())
-    youngest = now - KEPT_AT_LEAST
+    youngest = now - MIN_KEPT_SECONDS
     while state.kept_bytes > state.maximum_bytes and state.kept:
         if state.kept[0].tracked_at > youngest:
             state.count("kept.over_bound")
             return
-        forget_oldest(state, early=True)
+        evict_oldest(state, early=True)
 
 
 def _drop_bodies(state: OwnerState, answered: Answered) -> None:
-    """Keep of an answer that it was given; its caller may ask in vain now."""
+    """Replace the results of an answer by the fact that the tasks ran."""
     state.body_bytes -= answered.body_bytes
     if state.answered.get(answered.submission) is not answered:
         return
@@ -134,11 +140,11 @@
     state.kept_bytes += answered.kept_bytes
 
 
-def forget_oldest(state: OwnerState, early: bool) -> None:
-    """Forget the submission that was answered first.
+def evict_oldest(state: OwnerState, early: bool) -> None:
+    """Remove the submission that was answered first.
 
-    :param early: before its time, for want of room; then what is as old may
-        not be taken for new.
+    :param early: it is evicted before its retention ends, for lack of space; then
+        unknown keys that are as old can no longer be treated as new.
     """
     answered = state.kept.popleft()
     state.kept_bytes -= answered.kept_bytes
@@ -149,7 +155,7 @@
         state.with_bodies.popleft()
         state.body_bytes -= answered.body_bytes
     name = answered.submission
-    # A new try after a refusal has an entry of its own.
+    # A resubmission after a refusal has an entry of its own.
     if state.answered.get(name) is answered:
         del state.answered[name]
 
@@ -157,12 +163,12 @@
 def send_answer(
     state: OwnerState, answer: Answer, address: str, attempt: int, now: float
 ) -> None:
-    """Send an answer to one entry, under the attempt that it waits for."""
-    fields = {"attempt": attempt, "epoch": state.record.epoch, "stamp": stamp_of(now)}
+    """Send an answer to one entry, with the attempt that it waits for."""
+    fields = {"attempt": attempt, "epoch": state.record.epoch, "stamp": make_stamp(now)}
     state.send(address, msgspec.structs.replace(answer, **fields))
 
 
-def refuse(
+def refuse_submission(
     state: OwnerState,
     sender: str,
     submit: Submit,
@@ -170,10 +176,10 @@
     outcome: Outcome,
     now: float,
 ) -> None:
-    """Answer a submission that is not taken into the ledger.
+    """Answer a submission without adding it to the ledger.
 
-    :param outcome: the truth; "not run" needs a confirmed owner or a body that
-        was never run under its key.
+    :param outcome: must be certain; "not run" requires a confirmed owner or a body
+        that never ran under this key.
     """
     job = submit.job
     state.count(f"answer.{outcome}")
@@ -192,6 +198,6 @@
         refusal,
         b"",
         state.record.epoch,
-        stamp_of(now),
+        make_stamp(now),
     )
     state.send(sender, answer)
--- a/src/cactuswalk/state/attempts.py
+++ b/src/cactuswalk/state/attempts.py
@@ -1,68 +1,74 @@
 """Second attempts at a request that its caller declared idempotent.
 
-Retries after a failure that leaves the outcome open, and hedges beside a
-straggler. The scheduler's budgets bound both: without them, an upstream that
-fails would be asked ever more often, just when it has the least to give.
+Covers retries after a failure or an unknown outcome, and hedged attempts beside
+stragglers. Load pattern: a failing upstream. Without the scheduler's budgets for
+both, retries would multiply its load just when it has the least capacity.
 """
 
 from collections.abc import Callable
 
 from cactuswalk.decisions.scheduler import QueuedTask
 from cactuswalk.model import TaskResult
-from cactuswalk.state.ledger import Place, Stage, Task, Tracked
+from cactuswalk.state.ledger import Placement, Stage, Task, TrackedJob
 from cactuswalk.state.owner import OwnerState
 
-__all__ = ["fall_back", "hedge", "is_current", "other_of", "try_again"]
+__all__ = [
+    "fall_back_to_other",
+    "start_hedges",
+    "is_current",
+    "find_other_attempt",
+    "requeue_request",
+]
 
 
 def is_current(task: Task, incarnation: str, attempt: int) -> bool:
-    """Tell whether an attempt is one that the task waits for."""
+    """Return whether the task waits for an attempt."""
     return any(
         place is not None
         and place.incarnation == incarnation
         and place.attempt == attempt
-        for place in (task.place, task.hedge)
+        for place in (task.placement, task.hedge)
     )
 
 
-def other_of(task: Task, attempt: int) -> Place | None:
-    """Return the attempt that runs beside this one, None if there is none."""
+def find_other_attempt(task: Task, attempt: int) -> Placement | None:
+    """Return the attempt that runs in parallel to this one, if any."""
     if task.hedge is None:
         return None
-    return task.place if task.hedge.attempt == attempt else task.hedge
+    return task.placement if task.hedge.attempt == attempt else task.hedge
 
 
-def fall_back(task: Task, incarnation: str, attempt: int) -> bool:
-    """Wait on for the other attempt when one has come to nothing.
+def fall_back_to_other(task: Task, incarnation: str, attempt: int) -> bool:
+    """Continue with the parallel attempt after the given one has failed.
 
-    :return: False if there is no other one.
+    :return: False if there is no parallel attempt.
     """
-    other = other_of(task, attempt)
+    other = find_other_attempt(task, attempt)
     if other is None:
         return False
-    task.place, task.hedge = other, None
+    task.placement, task.hedge = other, None
     return True
 
 
-def try_again(
-    state: OwnerState, tracked: Tracked, result: TaskResult, now: float
+def requeue_request(
+    state: OwnerState, tracked: TrackedJob, result: TaskResult, now: float
 ) -> bool:
-    """Queue a request again that failed or whose outcome is open.
+    """Requeue a request that failed or whose outcome is unknown.
 
-    :return: False if it may not run twice, or its budget is spent.
+    :return: False if it may not run twice, or the retry budget is used up.
     """
     job = tracked.job
-    if not (job.request and job.idempotent) or tracked.ending is not None:
+    if not (job.request and job.idempotent) or tracked.abort_reason is not None:
         return False
     queued = QueuedTask(job, result.index, now, tracked.deadline)
     if not state.scheduler.may_retry(queued, now):
         return False
     task = tracked.tasks[result.index]
-    worker = task.place.worker
-    task.stage, task.place = Stage.QUEUED, None
+    worker = task.placement.worker
+    task.stage, task.placement = Stage.QUEUED, None
     state.count("start.retried")
     state.log(
-        "tries a request again",
+        "retrying a request",
         submission=job.submission,
         worker=worker,
         reason=result.reason,
@@ -71,27 +77,32 @@
     return True
 
 
-def hedge(
+def start_hedges(
     state: OwnerState,
     now: float,
-    send_start: Callable[[OwnerState, Tracked, int, Place, float], None],
+    send_start: Callable[[OwnerState, TrackedJob, int, Placement, float], None],
 ) -> None:
-    """Start second attempts at requests that take unusually long.
+    """Start second attempts of requests that take unusually long.
 
-    Only in services whose operators want it: it shortens the longest waits to a
-    third, at three times the goal for wasted messages (docs/design/decisions).
+    Only for services where operators enable it: it shortens the longest waits to a
+    third, but wastes three times as many messages as the goal allows
+    (docs/design/decisions).
     """
     if not state.hedged_services:
         return
     for assignment in state.scheduler.start_hedges(now, state.hedged_services):
         queued = assignment.task
         tracked = state.ledger.get(queued.job.submission)
-        peer = state.peer_of(assignment.worker)
+        peer = state.find_peer(assignment.worker)
         name = (queued.job.submission, queued.index)
-        if tracked is None or tracked.answer is not None or tracked.ending is not None:
+        if (
+            tracked is None
+            or tracked.answer is not None
+            or tracked.abort_reason is not None
+        ):
             state.scheduler.record_result(*name, assignment.worker, False, 0, now)
             continue
-        place = Place(
+        place = Placement(
             assignment.worker,
             peer.member.incarnation,
             state.next_attempt(),
@@ -99,10 +110,10 @@
             now,
         )
         tracked.tasks[queued.index].hedge = place
-        peer.flights[name] = place
+        peer.placements[name] = place
         state.count("start.hedged")
         state.log(
-            "hedges a request",
+            "started a hedged attempt",
             submission=queued.job.submission,
             worker=assignment.worker,
             reason=assignment.reason,
--- a/src/cactuswalk/state/callers.py
+++ b/src/cactuswalk/state/callers.py
@@ -1,4 +1,4 @@
-"""What callers want of an entry: submissions, cancels, questions."""
+"""Handlers of callers' requests to an entry: submissions, cancels, disconnects."""
 
 from cactuswalk.messages import (
     Cancel,
@@ -14,37 +14,37 @@
     Send,
 )
 from cactuswalk.state.entryview import (
-    OWNER_AWAITED,
+    MAX_OWNER_WAIT_SECONDS,
     RETRY_WITHOUT_OWNER_MS,
     CellView,
     EntryState,
     Pending,
-    age_ms,
-    give_up,
+    key_age_ms,
     log,
-    no_owner,
-    outcome_unsent,
+    make_no_owner_refusal,
+    outcome_if_unsent,
+    refuse_pending,
     refuse_waiter,
 )
 from cactuswalk.state.events import (
     CallerCancelled,
-    CallerGone,
+    CallerDisconnected,
     CallerSubmitted,
 )
-from cactuswalk.state.moving import choose_cell, is_served, mint_well
+from cactuswalk.state.moving import choose_cell, is_known_service, mint_for_healthy_cell
 from cactuswalk.state.waiting import send_submit
 
 __all__ = [
     "on_caller_cancelled",
-    "on_caller_gone",
+    "on_caller_disconnected",
     "on_caller_submitted",
 ]
 
 
 def on_caller_submitted(state: EntryState, event: CallerSubmitted, now: float) -> None:
-    """A caller has handed in a checked job."""
+    """Send a validated job to the owner of a cell, or refuse it."""
     job = event.job
-    refusal = _refusal_at_door(state, event, now)
+    refusal = _check_submission(state, event, now)
     if refusal is not None:
         _refuse(state, event, refusal)
         return
@@ -53,9 +53,9 @@
         _join(state, pending, event)
         return
     if event.minted:
-        mint_well(state, job, now)
+        mint_for_healthy_cell(state, job, now)
     cell = choose_cell(state, job)
-    refusal = _refusal_without_owner(cell, now)
+    refusal = _check_owner(cell, now)
     if refusal is not None:
         _refuse(state, event, refusal)
         return
@@ -80,53 +80,54 @@
 
 
 def _refuse(state: EntryState, event: CallerSubmitted, refusal: Refusal) -> None:
-    outcome = outcome_unsent(event.minted)
+    outcome = outcome_if_unsent(event.minted)
     refuse_waiter(state, event.waiter, event.job.submission, outcome, refusal)
 
 
-def _refusal_at_door(
+def _check_submission(
     state: EntryState, event: CallerSubmitted, now: float
 ) -> Refusal | None:
-    """Return why a submission goes no further than this entry."""
+    """Return why this entry refuses a submission itself; None if it does not."""
     job = event.job
-    age = age_ms(state, job, now)
+    age = key_age_ms(state, job, now)
     margin_ms = state.timing.clock_margin * 1000
     if age > state.timing.retention * 1000 - margin_ms:
         return Refusal(
             RefusalCode.TOO_OLD,
-            f"its key was born {age / 1000:.0f} s ago, records are kept for "
+            f"its key was created {age / 1000:.0f} s ago, records are kept for "
             f"{state.timing.retention:.0f} s",
         )
     if age < -margin_ms:
         return Refusal(
             RefusalCode.TOO_OLD,
-            f"its key will be born in {-age / 1000:.0f} s; set the clock right",
+            f"its key lies {-age / 1000:.0f} s in the future; correct the clock",
         )
     if event.remaining_ms <= 0:
         return Refusal(RefusalCode.DEADLINE_PASSED, "the deadline has passed")
     if state.stopping:
         return Refusal(RefusalCode.STOPPING, "this entry is stopping", 0)
-    if not is_served(state, job.service):
-        return _refusal_without_cell(state, job)
+    if not is_known_service(state, job.service):
+        return _make_no_cell_refusal(state, job)
     return None
 
 
-def _refusal_without_owner(cell: CellView, now: float) -> Refusal | None:
-    """Refuse at once where nobody has taken the cell over for long.
+def _check_owner(cell: CellView, now: float) -> Refusal | None:
+    """Return a refusal if the cell has been without an owner for too long.
 
-    In an outage of the key-value service nobody can. Each submission would wait
-    as long as the first one did, and its caller could have gone elsewhere.
+    During an outage of the key-value service no process can take a cell over.
+    Without this check each submission would wait as long as the first one did,
+    while its caller could have used another cell.
     """
     if cell.retired:
-        return Refusal(RefusalCode.NO_OWNER, f"cell {cell.cell} was lost for good")
-    sought = cell.sought_since
-    if sought is None or now - sought <= OWNER_AWAITED:
+        return Refusal(RefusalCode.NO_OWNER, f"cell {cell.cell} is permanently lost")
+    sought = cell.silent_since
+    if sought is None or now - sought <= MAX_OWNER_WAIT_SECONDS:
         return None
-    return no_owner(cell)
+    return make_no_owner_refusal(cell)
 
 
-def _refusal_without_cell(state: EntryState, job: Job) -> Refusal:
-    if state.spread.replica.get("service", job.service) is not None:
+def _make_no_cell_refusal(state: EntryState, job: Job) -> Refusal:
+    if state.sync.replica.get("service", job.service) is not None:
         return Refusal(
             RefusalCode.NO_WORKER_NOW,
             f"no worker has announced {job.service} yet",
@@ -138,14 +139,14 @@
             RefusalCode.UNKNOWN_SERVICE, f"no worker has announced {job.service}"
         )
     return Refusal(
-        RefusalCode.NO_OWNER, "no cell is known here yet", RETRY_WITHOUT_OWNER_MS
+        RefusalCode.NO_OWNER, "this entry knows no cell yet", RETRY_WITHOUT_OWNER_MS
     )
 
 
 def _join(state: EntryState, pending: Pending, event: CallerSubmitted) -> None:
-    """Let a resubmission wait for the same answer, if it is the same body."""
+    """Add a resubmission to the waiters, if its body is the same."""
     if pending.job.fingerprint != event.job.fingerprint:
-        refusal = Refusal(RefusalCode.KEY_REUSED, "this key is in use for another body")
+        refusal = Refusal(RefusalCode.KEY_REUSED, "the key is in use with another body")
         refuse_waiter(
             state, event.waiter, event.job.submission, Outcome.NOT_RUN, refusal
         )
@@ -155,11 +156,11 @@
 
 
 def on_caller_cancelled(state: EntryState, event: CallerCancelled, now: float) -> None:
-    """A caller wants a submission stopped."""
+    """Cancel a submission."""
     pending = state.pending.get(event.submission)
     if pending is not None and not pending.sent:
-        refusal = Refusal(RefusalCode.CANCELLED, "its caller cancelled it")
-        give_up(state, pending, outcome_unsent(pending.minted), refusal)
+        refusal = Refusal(RefusalCode.CANCELLED, "cancelled by the caller")
+        refuse_pending(state, pending, outcome_if_unsent(pending.minted), refusal)
         return
     owners = {view.owner for view in state.cells.values() if view.owner}
     if pending is not None:
@@ -169,8 +170,10 @@
         state.effects.append(Send(owner, Cancel(event.submission)))
 
 
-def on_caller_gone(state: EntryState, event: CallerGone, now: float) -> None:
-    """Nobody waits at this waiter any more; what runs goes on."""
+def on_caller_disconnected(
+    state: EntryState, event: CallerDisconnected, now: float
+) -> None:
+    """Remove a waiter; running tasks continue."""
     for pending in state.pending.values():
         if event.waiter in pending.waiters:
             pending.waiters.remove(event.waiter)
--- a/src/cactuswalk/state/cellviews.py
+++ b/src/cactuswalk/state/cellviews.py
@@ -1,13 +1,13 @@
-"""An entry's view of the cells: owners, reports, the configuration."""
+"""An entry's view of the cells: owners, reports and configuration."""
 
 import msgspec
 
 from cactuswalk.messages import (
-    Ceded,
+    CededSlots,
     CellReport,
     ConfigurationOffer,
     ConfigurationUpdate,
-    Heard,
+    LastContactRequest,
     NotOwner,
 )
 from cactuswalk.model import (
@@ -22,13 +22,19 @@
 from cactuswalk.state.events import (
     KeyRead,
 )
-from cactuswalk.state.listening import ask, ask_again, hear, is_silent, pace
+from cactuswalk.state.listening import (
+    is_silent,
+    record_stamp,
+    repeat_request,
+    report_interval,
+    request_report,
+)
 from cactuswalk.state.roster import cell_key
 from cactuswalk.state.waiting import send_submit
 
 __all__ = [
-    "keep_configuration",
-    "keep_view",
+    "sync_configuration",
+    "refresh_view",
     "on_heard",
     "on_not_owner",
     "on_offer",
@@ -37,16 +43,16 @@
     "on_update",
 ]
 
-# An owner that is found silent has its cell's record read again this often.
-READ_CELL_AFTER = 0.5
-# Entries tell each other what they hold this often, so that one that starts in
-# an outage of the service has the configuration within the five seconds in which
-# a change is to be in force.
-OFFER_PEERS_AFTER = 2.0
+# Interval at which the record of a cell with a silent owner is read.
+CELL_READ_INTERVAL_SECONDS = 0.5
+# Interval of configuration offers between entries. An entry that starts during an
+# outage of the service gets the configuration within the five seconds in which a
+# change has to be in force.
+PEER_OFFER_INTERVAL_SECONDS = 2.0
 
 
 def on_report(state: EntryState, sender: str, report: CellReport, now: float) -> None:
-    """An owner reports on its cell."""
+    """Apply a report of an owner; send pending submissions to a new owner."""
     view = state.cells.setdefault(report.cell, CellView(report.cell))
     if report.epoch < view.epoch or (
         report.epoch == view.epoch and report.stamp < view.stamp
@@ -57,9 +63,9 @@
     if report.epoch > view.epoch:
         view.stamp = 0
     view.owner, view.epoch = sender, report.epoch
-    hear(view, report.stamp, now)
+    record_stamp(view, report.stamp, now)
     view.report = report
-    view.takes_keys_at = now + report.young_ms / 1000
+    view.accepts_keys_at = now + report.refuses_keys_ms / 1000
     if report.workers is not None:
         view.workers, view.serial = report.workers, report.serial
     view.services |= set(report.free_slots)
@@ -79,13 +85,13 @@
 
 
 def on_not_owner(state: EntryState, sender: str, message: NotOwner, now: float) -> None:
-    """A process says that it does not own the cell."""
+    """Handle a reply from a process that does not own the cell."""
     view = state.cells.get(message.cell)
     if view is None:
         return
     if message.owner == sender and message.epoch == view.epoch:
-        # It owns the cell, but the stamp was old: it is asked for a young one,
-        # and the submission goes out again with it.
+        # It owns the cell, but the stamp was too old: request a fresh one and send
+        # the submission again with it.
         view.stamp_at = float("-inf")
         pending = state.pending.get(message.submission)
         if pending is not None and message.attempt == last_attempt(pending):
@@ -94,33 +100,35 @@
     if message.epoch >= view.epoch and sender == view.owner:
         view.owner = ""
     if message.owner and message.epoch >= view.epoch and not view.owner:
-        ask(state, view, message.owner, now)
+        request_report(state, view, message.owner, now)
     pending = state.pending.get(message.submission)
     if pending is not None and pending.cell == message.cell:
         pending.sent_epoch = min(pending.sent_epoch, message.epoch - 1)
 
 
-def on_heard(state: EntryState, sender: str, heard: Heard, now: float) -> None:
-    """An agent that finds no record of its cell asks who owned it.
+def on_heard(
+    state: EntryState, sender: str, heard: LastContactRequest, now: float
+) -> None:
+    """Tell an agent without a record of its cell who the owner was.
 
-    An owner that is silent is not named: the agent would ask it for a place for
-    ever. The epoch is told all the same, or the cell would go back.
+    A silent owner is not named: the agent would try to join it for ever. The epoch
+    is sent in any case; otherwise the cell would restart with a lower one.
     """
     view = state.cells.get(heard.cell, CellView(heard.cell))
     silent = is_silent(view, state.timing.confirm, now)
     owner = "" if silent else view.owner
     if owner and now - view.stamp_at > state.timing.confirm:
-        # Not asked for long; by the agent's next question it is known.
-        ask_again(state, view, now)
-    word = NotOwner(heard.cell, view.epoch, owner, "", 0)
-    state.effects.append(Send(sender, word))
+        # Not asked for some time; its state is known by the agent's next request.
+        repeat_request(state, view, now)
+    reply = NotOwner(heard.cell, view.epoch, owner, "", 0)
+    state.effects.append(Send(sender, reply))
 
 
 def on_read(state: EntryState, event: KeyRead, now: float) -> None:
-    """A cell's record was read, to find its owner."""
+    """Apply a cell's record, and ask the owner it names for a report."""
     read = state.cells.get(event.key.removeprefix(cell_key("")))
     if read is not None:
-        read.unread = not event.known
+        read.record_unreadable = not event.known
     if not event.known or event.value is None:
         return
     record = msgspec.json.decode(event.value, type=CellRecord)
@@ -129,39 +137,42 @@
         view.revision, view.holdings = event.revision, record.holdings
     if not record.owner.address:
         view.retired, view.owner, view.epoch = True, "", record.epoch
-        _tell_heirs(state, record)
+        _notify_successors(state, record)
         return
     if record.epoch > view.epoch or not view.owner:
-        ask(state, view, record.owner.address, now)
+        request_report(state, view, record.owner.address, now)
 
 
-def _tell_heirs(state: EntryState, record: CellRecord) -> None:
-    """Tell cells that a retired one left them slots; nobody of it can.
+def _notify_successors(state: EntryState, record: CellRecord) -> None:
+    """Tell cells about the slots that a retired cell has ceded to them.
 
-    They find out by themselves too, but look at one cell a minute only.
+    The retired cell has no process left to do so. The cells also find out by
+    themselves, but read only one other record a minute.
     """
-    life = f"{record.cell}/{record.identity}"
-    for heir in sorted({one.to for one in record.holdings if one.serial}):
-        view = state.cells.get(heir)
+    incarnation = f"{record.cell}/{record.identity}"
+    for successor in sorted({one.ceded_to for one in record.holdings if one.serial}):
+        view = state.cells.get(successor)
         if view is not None and view.owner:
-            left = [one for one in record.holdings if one.to == heir]
-            state.effects.append(Send(view.owner, Ceded(record.cell, life, left)))
+            left = [one for one in record.holdings if one.ceded_to == successor]
+            state.effects.append(
+                Send(view.owner, CededSlots(record.cell, incarnation, left))
+            )
 
 
-def keep_view(state: EntryState, view: CellView, busy: bool, now: float) -> None:
-    """Ask the owner at this entry's pace; look for another when it is silent.
+def refresh_view(state: EntryState, view: CellView, busy: bool, now: float) -> None:
+    """Request reports at this entry's interval; find the owner when it is silent.
 
     :param busy: a submission waits there.
     """
     if view.retired:
         return
     quiet = now - view.stamp_at
-    if view.owner and quiet >= pace(state, view, busy):
-        ask_again(state, view, now)
+    if view.owner and quiet >= report_interval(state, view, busy):
+        repeat_request(state, view, now)
     silent = is_silent(view, state.timing.confirm, now)
-    if silent and view.sought_since is None:
-        view.sought_since = now
-    if silent and now - view.read_at >= READ_CELL_AFTER:
+    if silent and view.silent_since is None:
+        view.silent_since = now
+    if silent and now - view.read_at >= CELL_READ_INTERVAL_SECONDS:
         view.read_at = now
         state.effects.append(ReadKey(cell_key(view.cell)))
 
@@ -169,28 +180,28 @@
 def on_offer(
     state: EntryState, sender: str, offer: ConfigurationOffer, now: float
 ) -> None:
-    """An owner or another entry says what it, and its cell, have in force."""
+    """Handle an offer: what an owner or entry, and its cell, have in force."""
     if offer.cell:
         state.held[offer.cell] = offer.held
-    state.effects += state.spread.offered(sender, offer, now)
+    state.effects += state.sync.on_offer(sender, offer, now)
 
 
 def on_update(
     state: EntryState, sender: str, update: ConfigurationUpdate, now: float
 ) -> None:
-    """Changes have come, from the watch, an operator here, or another node."""
-    applied, requests = state.spread.updated(sender, update, now)
+    """Apply changes from the watch, an operator at this entry or another node."""
+    applied, requests = state.sync.on_update(sender, update, now)
     state.effects += requests
     if applied.refused:
         state.effects.append(Count("configuration.refused", applied.refused))
     if applied.objects:
         owners = [view.owner for view in state.cells.values() if view.owner]
-        state.effects += state.spread.offers(owners)
+        state.effects += state.sync.make_offers(owners)
 
 
-def keep_configuration(state: EntryState, now: float) -> None:
-    """Repeat what was asked for, and ask peers while the service is away."""
-    state.effects += state.spread.tick(now)
-    if now - state.offered_at >= OFFER_PEERS_AFTER:
+def sync_configuration(state: EntryState, now: float) -> None:
+    """Repeat unanswered requests and offer the configuration to peers."""
+    state.effects += state.sync.tick(now)
+    if now - state.offered_at >= PEER_OFFER_INTERVAL_SECONDS:
         state.offered_at = now
-        state.effects += state.spread.offers(state.peers)
+        state.effects += state.sync.make_offers(state.peers)
--- a/src/cactuswalk/state/entry.py
+++ b/src/cactuswalk/state/entry.py
@@ -1,8 +1,7 @@
-"""The reducer of an entry: callers on one side, owners of cells on the other.
+"""The reducer of an entry, which connects callers with the owners of cells.
 
-An entry keeps nothing that an answer depends on. What it knows of a submission
-is who waits for it here and where it was sent; another entry can take a
-resubmission over at any time.
+An entry keeps no state that an answer depends on, only who waits for a submission
+and where it was sent. A resubmission can therefore go to any other entry.
 """
 
 import random
@@ -14,28 +13,28 @@
     ConfigurationOffer,
     ConfigurationRequest,
     ConfigurationUpdate,
-    Explained,
-    Heard,
+    Explanation,
     JobState,
+    LastContactRequest,
     NotHeld,
     NotOwner,
 )
 from cactuswalk.state.callers import (
     on_caller_cancelled,
-    on_caller_gone,
+    on_caller_disconnected,
     on_caller_submitted,
 )
 from cactuswalk.state.cellviews import (
-    keep_configuration,
-    keep_view,
     on_heard,
     on_not_owner,
     on_offer,
     on_read,
     on_report,
     on_update,
+    refresh_view,
+    sync_configuration,
 )
-from cactuswalk.state.configuration import Replica, Spread
+from cactuswalk.state.configuration import ConfigurationSync, Replica
 from cactuswalk.state.effects import (
     Effect,
 )
@@ -44,28 +43,28 @@
     EntryState,
 )
 from cactuswalk.state.events import (
-    CallerAsked,
     CallerCancelled,
-    CallerGone,
+    CallerDisconnected,
+    CallerQueried,
     CallerSubmitted,
     ConfigurationChanged,
     Event,
+    ExplainRequested,
     KeyRead,
-    OperatorAsked,
     Received,
     StopRequested,
     Tick,
 )
-from cactuswalk.state.moving import keep_moving, on_not_held
+from cactuswalk.state.moving import on_not_held, retry_cell_choice
 from cactuswalk.state.questions import (
-    expire_questions,
-    on_asked_state,
-    on_caller_asked,
+    expire_requests,
+    on_caller_queried,
+    on_explain_requested,
     on_explained,
-    on_operator_asked,
+    on_requested_state,
 )
 from cactuswalk.state.timing import Timing
-from cactuswalk.state.waiting import keep_pending, on_answer, on_job_state
+from cactuswalk.state.waiting import maintain_pending, on_answer, on_job_state
 
 __all__ = ["EntryState", "handle_entry", "new_entry"]
 
@@ -78,16 +77,16 @@
     wall_ms: float,
     peers: Sequence[str] = (),
 ) -> EntryState:
-    """Return the state of an entry that has just been started."""
-    spread = Spread(Replica())
-    state = EntryState(address, timing, generator, wall_ms, spread, list(peers))
+    """Return the initial state of an entry."""
+    sync = ConfigurationSync(Replica())
+    state = EntryState(address, timing, generator, wall_ms, sync, list(peers))
     state.attempt = generator.getrandbits(40)
     state.cells = {cell: CellView(cell) for cell in cells}
     return state
 
 
 def handle_entry(state: EntryState, event: Event, now: float) -> list[Effect]:
-    """Take one event and return what is to be done."""
+    """Handle one event and return the resulting effects."""
     if isinstance(event, Received):
         handle_message = _ON_MESSAGE.get(type(event.message))
         if handle_message is not None:
@@ -103,12 +102,12 @@
 def _on_tick(state: EntryState, event: Tick, now: float) -> None:
     busy = {pending.cell for pending in state.pending.values()}
     for view in state.cells.values():
-        keep_view(state, view, view.cell in busy, now)
-    keep_configuration(state, now)
+        refresh_view(state, view, view.cell in busy, now)
+    sync_configuration(state, now)
     for pending in list(state.pending.values()):
-        keep_moving(state, pending, now)
-        keep_pending(state, pending, now)
-    expire_questions(state, now)
+        retry_cell_choice(state, pending, now)
+        maintain_pending(state, pending, now)
+    expire_requests(state, now)
 
 
 def _on_stop_requested(state: EntryState, event: StopRequested, now: float) -> None:
@@ -125,7 +124,7 @@
     state: EntryState, sender: str, message: JobState, now: float
 ) -> None:
     if message.request:
-        on_asked_state(state, message)
+        on_requested_state(state, message)
     else:
         on_job_state(state, message, now)
 
@@ -133,15 +132,15 @@
 def _on_request(
     state: EntryState, sender: str, message: ConfigurationRequest, now: float
 ) -> None:
-    state.effects += state.spread.requested(sender, message)
+    state.effects += state.sync.on_request(sender, message)
 
 
 _ON_EVENT: dict[type, Callable] = {
     CallerSubmitted: on_caller_submitted,
     CallerCancelled: on_caller_cancelled,
-    CallerAsked: on_caller_asked,
-    CallerGone: on_caller_gone,
-    OperatorAsked: on_operator_asked,
+    CallerQueried: on_caller_queried,
+    CallerDisconnected: on_caller_disconnected,
+    ExplainRequested: on_explain_requested,
     ConfigurationChanged: _on_configuration_changed,
     KeyRead: on_read,
     StopRequested: _on_stop_requested,
@@ -152,9 +151,9 @@
     CellReport: on_report,
     NotOwner: on_not_owner,
     NotHeld: on_not_held,
-    Heard: on_heard,
+    LastContactRequest: on_heard,
     JobState: _on_job_state,
-    Explained: on_explained,
+    Explanation: on_explained,
     ConfigurationOffer: on_offer,
     ConfigurationRequest: _on_request,
     ConfigurationUpdate: on_update,
--- a/src/cactuswalk/state/entryview.py
+++ b/src/cactuswalk/state/entryview.py
@@ -1,11 +1,11 @@
-"""What an entry knows: of cells, of submissions, of questions."""
+"""The state of an entry: cells, pending submissions and pending queries."""
 
 import random
 
 import msgspec
 
-from cactuswalk.messages import CellReport, Explained
-from cactuswalk.messages.configuration import NodesHolding
+from cactuswalk.messages import CellReport, Explanation
+from cactuswalk.messages.configuration import NodeStateCount
 from cactuswalk.model import (
     Announcement,
     Holding,
@@ -14,7 +14,7 @@
     Refusal,
     RefusalCode,
 )
-from cactuswalk.state.configuration import Spread
+from cactuswalk.state.configuration import ConfigurationSync
 from cactuswalk.state.effects import (
     Count,
     Effect,
@@ -25,46 +25,45 @@
 from cactuswalk.state.timing import Timing
 
 __all__ = [
-    "OWNER_AWAITED",
+    "MAX_OWNER_WAIT_SECONDS",
     "RETRY_WITHOUT_OWNER_MS",
-    "Asked",
+    "PendingStateQuery",
     "CellView",
     "EntryState",
     "Pending",
-    "Questioned",
-    "age_ms",
-    "give_up",
+    "PendingExplain",
+    "key_age_ms",
+    "refuse_pending",
     "last_attempt",
     "log",
-    "no_owner",
-    "outcome_unsent",
+    "make_no_owner_refusal",
+    "outcome_if_unsent",
     "refuse_waiter",
 ]
 
-# A caller that comes back after a takeover finds an owner.
+# Long enough for a takeover to end, so that a caller that retries finds an owner.
 RETRY_WITHOUT_OWNER_MS = 3000
-# A takeover ends within this; until then a submission waits for its owner. Counted
-# from when the owner fell silent: where half of a cell is gone for good, those who
-# come later would wait for nothing, each up to its deadline.
-OWNER_AWAITED = 6.0
+# A takeover ends within this time; until then a submission waits for its owner. It is
+# counted from when the owner became silent, not from the submission: when half of a
+# cell is permanently lost, later submissions would each wait until their deadline.
+MAX_OWNER_WAIT_SECONDS = 6.0
 
 
 class CellView(msgspec.Struct):
-    """What an entry knows of one cell.
-
-    :param owner: address of its owner, empty while it is not known.
-    :param holdings: which submissions fall to it, as far as is known here; an
-        owner that doesn't hold one says so.
-    :param retired: an operator has said that its hosts are gone for good.
-    :param unread: the key-value service gave no answer when its record was read
-        last; then nobody can take the cell over either.
-    :param stamp_at: when the owner's latest stamp came here.
-    :param sought_since: since when its owner has been silent, None while it
-        is heard.
-    :param takes_keys_at: from when on it takes keys that callers chose.
-    :param subscribed_at: when it was last asked for a report; ``asked_since``
-        the first time of those that nothing has answered.
-    :param serial: of ``workers``, for its owner's epoch.
+    """An entry's view of one cell.
+
+    :param owner: address of its owner, empty while unknown.
+    :param holdings: which submissions belong to the cell, as far as known here; an
+        owner reports one that it does not hold.
+    :param retired: an operator has declared its hosts permanently lost.
+    :param record_unreadable: the key-value service gave no answer when its record
+        was last read; then no process can take the cell over either.
+    :param stamp_at: when the owner's latest stamp was received.
+    :param silent_since: since when its owner has been silent, None if it is not.
+    :param accepts_keys_at: when it starts to accept keys that callers chose.
+    :param subscribed_at: when a report was last requested; ``unanswered_since`` is
+        when the first request without a reply was sent.
+    :param serial: version of ``workers`` within its owner's epoch.
     """
 
     cell: str
@@ -74,28 +73,30 @@
     stamp: int = 0
     stamp_at: float = float("-inf")
     subscribed_at: float = float("-inf")
-    asked_since: float = float("inf")
+    unanswered_since: float = float("inf")
     read_at: float = float("-inf")
-    sought_since: float | None = None
-    takes_keys_at: float = float("-inf")
+    silent_since: float | None = None
+    accepts_keys_at: float = float("-inf")
     serial: int = 0
     workers: list[Announcement] = []
     report: CellReport | None = None
     holdings: list[Holding] = []
     revision: int = 0
-    unread: bool = False
+    record_unreadable: bool = False
     retired: bool = False
 
 
 class Pending(msgspec.Struct):
     """A submission that callers wait for at this entry.
 
-    :param attempts: every attempt sent, so that a late answer to one of them
-        is recognised; all of one submission have the same answer.
-    :param sent: whether it was sent to anybody who has not said that it does
-        not hold it.
-    :param hops: how often it was sent on since a cell was last chosen.
-    :param moved_at: when it was sent on from a cell that doesn't hold it.
+    :param attempts: every attempt sent, so that a late answer to one of them is
+        recognised; all attempts of a submission have the same answer.
+    :param sent: whether it was sent to a process that has not denied holding it.
+    :param last_sign_at: when it was last sent, queried or reported on.
+    :param query_after: time without a sign of it after which its owner is queried.
+    :param minted: this entry made the identifier.
+    :param hops: number of forwards since a cell was last chosen.
+    :param moved_at: when it was forwarded from a cell that does not hold it.
     """
 
     job: Job
@@ -106,7 +107,7 @@
     attempts: set[int] = set()
     sent: bool = False
     sent_epoch: int = 0
-    sign_at: float = 0.0
+    last_sign_at: float = 0.0
     query_after: float = 0.0
     minted: bool = False
     hops: int = 0
@@ -114,89 +115,88 @@
     cancelled: bool = False
 
 
-class Asked(msgspec.Struct):
-    """A caller's question where a submission stands.
+class PendingStateQuery(msgspec.Struct):
+    """A caller's query for the state of a submission.
 
-    :param owners: how many owners have yet to answer.
+    :param owners: number of owners that have not replied yet.
     """
 
     until: float
     owners: int
 
 
-class Questioned(msgspec.Struct):
-    """An operator's question where a job could be placed.
+class PendingExplain(msgspec.Struct):
+    """An operator's query where a job could be placed.
 
-    :param owners: how many owners have yet to answer.
+    :param owners: number of owners that have not replied yet.
     """
 
     until: float
     owners: int
-    cells: list[Explained] = []
+    cells: list[Explanation] = []
 
 
 class EntryState(msgspec.Struct):
-    """All that an entry knows.
-
-    :param wall_ms: wall clock less monotonic clock; only ages of identifiers
-        rest on it.
-    :param attempt: number of the last submit sent; starts at random, so that a
-        restarted entry at the same address does not repeat one.
-    :param spread: this entry's copy of the configuration.
-    :param peers: addresses of processes to learn the configuration from.
-    :param held: by cell, what its nodes have in force, as its owner says.
-    :param asked: questions of callers that owners have not answered yet.
+    """State of an entry.
+
+    :param wall_ms: wall clock minus monotonic clock; used only for ages of keys.
+    :param attempt: number of the last submit sent. Starts at a random number, so
+        that a restarted entry at the same address does not reuse one.
+    :param sync: this entry's copy of the configuration.
+    :param peers: addresses of processes to exchange the configuration with.
+    :param held: what the nodes of each cell have in force, as its owner reports.
+    :param pending_queries: callers' queries that owners have not answered yet.
     """
 
     address: str
     timing: Timing
     generator: random.Random
     wall_ms: float
-    spread: Spread
+    sync: ConfigurationSync
     peers: list[str] = []
     cells: dict[str, CellView] = {}
     pending: dict[str, Pending] = {}
-    asked: dict[str, Asked] = {}
-    questioned: dict[str, Questioned] = {}
+    pending_queries: dict[str, PendingStateQuery] = {}
+    pending_explains: dict[str, PendingExplain] = {}
     attempt: int = 0
     stopping: bool = False
-    held: dict[str, list[NodesHolding]] = {}
+    held: dict[str, list[NodeStateCount]] = {}
     offered_at: float = float("-inf")
     effects: list[Effect] = []
 
 
 def last_attempt(pending: Pending) -> int:
-    """Return the attempt that was sent last."""
+    """Return the number of the last attempt sent."""
     return max(pending.attempts, default=0)
 
 
-def outcome_unsent(minted: bool) -> Outcome:
-    """Return what is true of a submission that this entry has sent to nobody.
+def outcome_if_unsent(minted: bool) -> Outcome:
+    """Return the outcome of a submission that this entry has not sent.
 
-    A caller's own key may have been submitted before, through another entry,
-    and have run: then only an owner can say "not run".
+    A key that the caller chose may have been submitted through another entry and
+    have run; for it only an owner can say "not run".
     """
     return Outcome.NOT_RUN if minted else Outcome.UNKNOWN
 
 
-def no_owner(view: CellView) -> Refusal:
-    """Return the refusal of what has waited in vain for the owner of a cell."""
+def make_no_owner_refusal(view: CellView) -> Refusal:
+    """Return the refusal for a cell that has had no owner for too long."""
     return Refusal(
         RefusalCode.NO_OWNER,
-        f"cell {view.cell} has had no owner for {OWNER_AWAITED:.0f} s",
+        f"cell {view.cell} has had no owner for {MAX_OWNER_WAIT_SECONDS:.0f} s",
         RETRY_WITHOUT_OWNER_MS,
     )
 
 
-def age_ms(state: EntryState, job: Job, now: float) -> float:
-    """Return how long ago a submission's key was born, by this wall clock."""
-    return now * 1000 + state.wall_ms - job.born_ms
+def key_age_ms(state: EntryState, job: Job, now: float) -> float:
+    """Return the age of a submission's key by this process's wall clock."""
+    return now * 1000 + state.wall_ms - job.created_ms
 
 
-def give_up(
+def refuse_pending(
     state: EntryState, pending: Pending, outcome: Outcome, refusal: Refusal
 ) -> None:
-    """Answer all who wait, without the owner's word."""
+    """Refuse a submission to all its waiters, without an answer of the owner."""
     del state.pending[pending.job.submission]
     for waiter in pending.waiters:
         refuse_waiter(state, waiter, pending.job.submission, outcome, refusal)
@@ -209,7 +209,7 @@
     outcome: Outcome,
     refusal: Refusal,
 ) -> None:
-    """Answer one who waits without an answer to the submission."""
+    """Reply to one waiter with a refusal instead of an answer."""
     log(
         state,
         "refused a caller",
@@ -222,5 +222,5 @@
 
 
 def log(state: EntryState, sentence: str, **fields: object) -> None:
-    """Have a log line written."""
+    """Add a log line to the effects."""
     state.effects.append(Log(Part.ENTRY, sentence, fields))
--- a/src/cactuswalk/state/flights.py
+++ b/src/cactuswalk/state/flights.py
@@ -1,4 +1,4 @@
-"""Results, declines and losses of attempts that were sent."""
+"""Results, declines and losses of in-flight attempts, handled by the owner."""
 
 import msgspec
 
@@ -16,19 +16,24 @@
 )
 from cactuswalk.state import attempts
 from cactuswalk.state.answers import give_answer
-from cactuswalk.state.ending import after_end
-from cactuswalk.state.landing import is_of, land, stop_attempt, withdraw
-from cactuswalk.state.ledger import Stage, Tracked, end_task, is_settled
+from cactuswalk.state.ending import handle_task_end
+from cactuswalk.state.landing import (
+    matches_attempt,
+    remove_placement,
+    stop_attempt,
+    withdraw,
+)
+from cactuswalk.state.ledger import Stage, TrackedJob, end_task, is_settled
 from cactuswalk.state.owner import OwnerState, Peer
-from cactuswalk.state.retention import newer
+from cactuswalk.state.retention import choose_newer
 
-__all__ = ["give_up_flights", "on_declined", "on_result", "on_running"]
+__all__ = ["abandon_flights", "on_declined", "on_result", "on_running"]
 
 
 def on_result(state: OwnerState, sender: str, message: Result, now: float) -> None:
-    """A task has ended at an agent."""
+    """Record the result of a task that ended at an agent."""
     place = (message.submission, message.index)
-    flight = land(state, message.incarnation, *place, message.attempt)
+    flight = remove_placement(state, message.incarnation, *place, message.attempt)
     if flight is not None:
         state.scheduler.record_result(
             *place,
@@ -36,107 +41,111 @@
             message.result.outcome is TaskOutcome.DONE,
             message.elapsed_ms,
             now,
-            message.result.guarded,
+            message.result.is_stopped_by_guard,
         )
-    _note_recovered(state, message, now)
+    _update_recovered(state, message, now)
     tracked = state.ledger.get(message.submission)
     if tracked is None or tracked.answer is not None:
         state.count("result.late")
         return
-    _settle(state, tracked, message.incarnation, message.attempt, message.result, now)
+    _record_end(
+        state, tracked, message.incarnation, message.attempt, message.result, now
+    )
 
 
-def _settle(
+def _record_end(
     state: OwnerState,
-    tracked: Tracked,
+    tracked: TrackedJob,
     incarnation: str,
     attempt: int,
     result: TaskResult,
     now: float,
 ) -> None:
-    """Take the end of an attempt: the task's end, unless another may answer it."""
+    """Record the end of an attempt; it ends the task unless another may answer it."""
     task = tracked.tasks[result.index]
     if not attempts.is_current(task, incarnation, attempt):
-        # An earlier attempt's answer must not pass for this one's.
+        # The result of an earlier attempt must not count for the current one.
         state.count("result.stale")
         return
     if result.outcome is not TaskOutcome.DONE:
-        if attempts.fall_back(task, incarnation, attempt):
+        if attempts.fall_back_to_other(task, incarnation, attempt):
             return
-        if attempts.try_again(state, tracked, result, now):
+        if attempts.requeue_request(state, tracked, result, now):
             return
-    other = attempts.other_of(task, attempt)
+    other = attempts.find_other_attempt(task, attempt)
     if end_task(tracked, result):
         if other is not None:
             stop_attempt(state, tracked.job.submission, result.index, other, now)
-        after_end(state, tracked, result, now)
+        handle_task_end(state, tracked, result, now)
 
 
 def on_declined(state: OwnerState, sender: str, message: Declined, now: float) -> None:
-    """An agent gives its word that an attempt did not and won't start."""
+    """Handle an agent's statement that an attempt has not started and never will."""
     if message.epoch > state.record.epoch:
         state.deposed = True
         return
     place = (message.submission, message.index)
     peer = state.peers.get(message.incarnation)
-    flight = peer.flights.get(place) if peer is not None else None
+    flight = peer.placements.get(place) if peer is not None else None
     if flight is None or flight.attempt != message.attempt:
-        # Only the life of the agent that was sent the attempt can speak for
-        # it: a restarted agent knows nothing of what ran before.
+        # Only the incarnation of the agent that was sent the attempt can decline
+        # it: a restarted agent does not know what ran before.
         state.count("decline.stale")
         return
-    del peer.flights[place]
+    del peer.placements[place]
     state.count("start.declined")
-    _note_declined(state, message, now)
+    _decline_recovered(state, message, now)
     tracked = state.ledger.get(message.submission)
     open_task = tracked is not None and tracked.answer is None
     lives = (message.incarnation, message.attempt)
     if (
         not open_task
         or not attempts.is_current(tracked.tasks[message.index], *lives)
-        or attempts.fall_back(tracked.tasks[message.index], *lives)
+        or attempts.fall_back_to_other(tracked.tasks[message.index], *lives)
     ):
         state.scheduler.record_result(*place, flight.worker, False, 0, now)
         return
-    if tracked.ending is not None:
+    if tracked.abort_reason is not None:
         state.scheduler.record_result(*place, flight.worker, False, 0, now)
         result = TaskResult(
             message.index, TaskOutcome.NOT_RUN, reason="it was not started"
         )
         if end_task(tracked, result) and is_settled(tracked):
-            give_answer(state, tracked, tracked.ending, now)
+            give_answer(state, tracked, tracked.abort_reason, now)
         return
     task = tracked.tasks[message.index]
-    task.stage, task.place = Stage.QUEUED, None
+    task.stage, task.placement = Stage.QUEUED, None
     queued = QueuedTask(tracked.job, message.index, now, tracked.deadline)
     state.scheduler.requeue(queued, flight.worker, now)
 
 
 def on_running(state: OwnerState, sender: str, message: Running, now: float) -> None:
-    """A probed attempt is running; its result will come."""
+    """Count a probed attempt that is still running; its result follows."""
     state.count("probe.running")
 
 
-def give_up_flights(state: OwnerState, peer: Peer, reason: str, now: float) -> None:
-    """Settle what was placed at a member that is gone: nobody can tell of it."""
-    for submission, index in list(peer.flights):
-        flight = peer.flights.pop((submission, index))
+def abandon_flights(state: OwnerState, peer: Peer, reason: str, now: float) -> None:
+    """End the attempts placed at a lost member, which nobody can report on."""
+    for submission, index in list(peer.placements):
+        flight = peer.placements.pop((submission, index))
         state.scheduler.record_result(submission, index, flight.worker, False, 0, now)
         tracked = state.ledger.get(submission)
         if tracked is None or tracked.answer is not None:
             continue
         task = tracked.tasks[index]
         waits = task.stage is Stage.WITNESSING
-        if waits and is_of(task.place, peer.member.incarnation, flight.attempt):
+        if waits and matches_attempt(
+            task.placement, peer.member.incarnation, flight.attempt
+        ):
             withdraw(state, tracked, index, now)
             continue
         result = TaskResult(index, TaskOutcome.UNKNOWN, reason=reason)
         lives = (peer.member.incarnation, flight.attempt)
-        _settle(state, tracked, *lives, result, now)
+        _record_end(state, tracked, *lives, result, now)
 
 
-def _note_recovered(state: OwnerState, message: Result, now: float) -> None:
-    """Bring a recovered record up to date, for a later resubmission."""
+def _update_recovered(state: OwnerState, message: Result, now: float) -> None:
+    """Update a recovered record, for a later resubmission."""
     record = state.recovered.get(message.submission, message.index)
     if record is None or record.attempt != message.attempt:
         return
@@ -152,14 +161,14 @@
         record.incarnation,
         message.result,
     )
-    state.recovered.put(newer(record, ended), now)
+    state.recovered.put(choose_newer(record, ended), now)
 
 
-def _note_declined(state: OwnerState, message: Declined, now: float) -> None:
-    """Take back a recovered record of an attempt that never started.
+def _decline_recovered(state: OwnerState, message: Declined, now: float) -> None:
+    """Mark a recovered record of an attempt that never started as declined.
 
-    A witness keeps a record of a start that its owner may not have sent any
-    more. A resubmission would be told unknown of a task that did not run.
+    A witness keeps a record of a start that its owner may not have sent. Otherwise
+    a resubmission would get "unknown" for a task that did not run.
     """
     record = state.recovered.get(message.submission, message.index)
     if record is not None and record.attempt == message.attempt:
--- a/src/cactuswalk/state/gate.py
+++ b/src/cactuswalk/state/gate.py
@@ -1,9 +1,9 @@
-"""The gate beside a worker: the only way to start anything there.
+"""The gate of an agent, which decides whether a task may start at its worker.
 
-What goes wrong without it: a second owner, a copy of a message that the network
-held back, or an owner that slept past its standing starts a task again, and a
-seat is given to two pupils. A start passes only with the epoch that this agent
-last confirmed, a young stamp of its own, and no record of the task.
+It prevents duplicate starts by a second owner, by a delayed copy of a message, or by
+an owner that was suspended until its confirmation had expired; a seat would be given
+to two pupils. A start is allowed only with the epoch that this agent last confirmed,
+a recent stamp of its own and no record of the task.
 """
 
 import msgspec
@@ -11,22 +11,22 @@
 from cactuswalk.errors import InvariantError
 from cactuswalk.messages import Record, Start
 from cactuswalk.model import Member, TaskState
-from cactuswalk.state.retention import RecordBook
+from cactuswalk.state.retention import RecordStore
 
-__all__ = ["Gate", "Verdict", "check_start", "tombstone"]
+__all__ = ["Gate", "StartDecision", "check_start", "record_decline"]
 
 
 class Gate(msgspec.Struct):
-    """What the gate of one agent knows.
+    """State of one agent's gate.
 
-    :param epoch: highest epoch seen; it never goes down.
-    :param owner: of that epoch, None until it has spoken.
-    :param running: starts in progress, by (submission, index).
-    :param slots: of the announced upstream; 0 while there is none.
+    :param epoch: highest epoch seen; never decreases.
+    :param owner: owner in that epoch, None until it was heard from.
+    :param running: attempts in progress, by (submission, index).
+    :param slots: slots of the announced upstream; 0 while there is none.
     """
 
     member: Member
-    records: RecordBook
+    records: RecordStore
     confirm: float
     epoch: int = 0
     owner: Member | None = None
@@ -35,20 +35,20 @@
     stopping: bool = False
 
 
-class Verdict(msgspec.Struct):
-    """Whether a start may pass.
+class StartDecision(msgspec.Struct):
+    """Whether a start is allowed.
 
-    :param repeat: the start is a copy of one that has passed; say nothing new.
-    :param reason: why it is declined, empty if it passes.
+    :param is_duplicate: the start is a copy of one that was allowed; it is ignored.
+    :param reason: why it is declined, empty if it is allowed.
     """
 
-    passes: bool
-    repeat: bool = False
+    is_allowed: bool
+    is_duplicate: bool = False
     reason: str = ""
 
 
-def take_epoch(gate: Gate, epoch: int, owner: Member) -> bool:
-    """Take note of an owner's epoch; tell whether it is the one in force.
+def accept_epoch(gate: Gate, epoch: int, owner: Member) -> bool:
+    """Record an owner's epoch unless it is lower; return whether it is in force.
 
     :raises InvariantError: if one epoch has two owners.
     """
@@ -66,36 +66,40 @@
     return True
 
 
-def check_start(gate: Gate, start: Start, now: float) -> Verdict:
-    """Decide on a start, without changing anything."""
+def check_start(gate: Gate, start: Start, now: float) -> StartDecision:
+    """Decide on a start without changing any state."""
     if start.incarnation != gate.member.incarnation:
-        return Verdict(False, reason="meant for another life of this agent")
+        return StartDecision(False, reason="sent to another incarnation of this agent")
     if start.epoch != gate.epoch:
-        return Verdict(False, reason=f"epoch {start.epoch}, in force {gate.epoch}")
+        return StartDecision(
+            False, reason=f"epoch {start.epoch}, expected {gate.epoch}"
+        )
     record = gate.records.get(start.submission, start.index)
     if record is not None and not _may_follow(record, start):
-        repeat = record.state is not TaskState.DECLINED
-        return Verdict(False, repeat=repeat, reason="declined before")
+        is_duplicate = record.state is not TaskState.DECLINED
+        return StartDecision(
+            False, is_duplicate=is_duplicate, reason="already declined"
+        )
     return _check_circumstances(gate, start, now)
 
 
-def _check_circumstances(gate: Gate, start: Start, now: float) -> Verdict:
+def _check_circumstances(gate: Gate, start: Start, now: float) -> StartDecision:
     age_ms = now * 1000 - start.stamp
     if age_ms > gate.confirm * 1000:
-        return Verdict(False, reason=f"stamp is {age_ms:.0f} ms old")
+        return StartDecision(False, reason=f"stamp is {age_ms:.0f} ms old")
     if age_ms >= start.remaining_ms:
-        return Verdict(False, reason="the deadline has passed")
+        return StartDecision(False, reason="the deadline has passed")
     if gate.stopping:
-        return Verdict(False, reason="this agent is stopping")
+        return StartDecision(False, reason="this agent is stopping")
     if len(gate.running) >= gate.slots:
-        return Verdict(False, reason=f"all {gate.slots} slots are taken")
-    if not gate.records.has_room():
-        return Verdict(False, reason="no room for another record")
-    return Verdict(True)
+        return StartDecision(False, reason=f"all {gate.slots} slots are taken")
+    if not gate.records.has_capacity():
+        return StartDecision(False, reason="the record book is full")
+    return StartDecision(True)
 
 
 def _may_follow(record: Record, start: Start) -> bool:
-    """Tell whether a start may pass though its task has a record here."""
+    """Return whether a start is allowed although its task has a record here."""
     if start.attempt <= record.attempt:
         return False
     if record.state is TaskState.DECLINED:
@@ -104,27 +108,27 @@
 
 
 def record_start(gate: Gate, start: Start, now: float) -> None:
-    """Record a start that has passed, before anything is sent to the upstream.
+    """Record an allowed start, before anything is sent to the upstream.
 
-    :raises InvariantError: if the task is running or has run and may not again.
+    :raises InvariantError: if the task is running, or has run and must not again.
     """
-    place = (start.submission, start.index)
-    earlier = gate.records.get(*place)
+    task_key = (start.submission, start.index)
+    earlier = gate.records.get(*task_key)
     started = earlier is not None and earlier.state is not TaskState.DECLINED
-    if place in gate.running or (started and not start.idempotent):
+    if task_key in gate.running or (started and not start.idempotent):
         raise InvariantError(
             f"task {start.index} of {start.submission} would start twice",
             "Report this with the log of the agent; the task was not started.",
         )
-    gate.running[place] = start.attempt
+    gate.running[task_key] = start.attempt
     gate.records.put(_record_of(gate, start, TaskState.RUNNING), now)
 
 
-def tombstone(gate: Gate, start: Start, now: float) -> None:
-    """Make sure that a declined attempt never starts here.
+def record_decline(gate: Gate, start: Start, now: float) -> None:
+    """Record that an attempt was declined, so that it never starts here.
 
-    Without it, a repeated copy of the declined start could pass a moment later,
-    when a slot is free again, while the owner has placed the task elsewhere.
+    Otherwise a duplicate of the declined start could be allowed a moment later,
+    when a slot is free again, although the owner has placed the task elsewhere.
     """
     if start.incarnation != gate.member.incarnation:
         return
--- a/src/cactuswalk/state/guarding.py
+++ b/src/cactuswalk/state/guarding.py
@@ -1,11 +1,12 @@
-"""The guard beside a worker: late reports of use in, wishes to the upstream out.
+"""The memory guard of a worker: turns usage reports into requests to the upstream.
 
 Load pattern: a task takes ten times its declared memory among seven others. Without
-this the operating system ends one of them, and not always the guilty one; its outcome
-is unknown, and a seat check may not be asked again. Stopped by the guard, the guilty
-one answers its call itself, so that it is told truly: it ran and failed.
+the guard the operating system kills one of them, not always the one at fault; its
+outcome is unknown, and a seat check must not be repeated. A task stopped by the guard
+ends its own call, so that its outcome is known: it ran and failed.
 
-``decisions.guard`` judges; this module knows what runs here, and how old a report is.
+``decisions.guard`` chooses the actions; this module tracks which tasks run here and
+allows for the age of the reports.
 """
 
 import msgspec
@@ -14,37 +15,37 @@
 from cactuswalk.messages import Start
 from cactuswalk.model import Capacity
 from cactuswalk.state.effects import (
+    ControlUpstream,
     Count,
     Effect,
     Log,
     Part,
-    SteerUpstream,
     StopUpstream,
 )
 from cactuswalk.state.events import TaskUsage
 
-__all__ = ["Guard", "Guarded", "on_reported", "unwatch", "watch"]
+__all__ = ["Guard", "GuardedTask", "on_usage_report", "add_task", "remove_task"]
 
-# A throttled task gets half of the processor time: it grows half as fast, and its
-# caller, whose deadline is a few run times away, may still get an answer.
+# A throttled task gets half of the processor time: its memory grows half as fast, and
+# it may still meet its deadline, which is usually a few run times away.
 THROTTLE_FACTOR = 2.0
 
-# A stop takes up to two seconds to arrive (the call's time-out), and reports are a
-# second old. Until then the memory of a stopped task still shows in them, and a second
-# task would be stopped for what the first has given back.
+# A stop takes up to two seconds to arrive (the timeout of the call), and reports are a
+# second old. Until then reports still include the memory of a stopped task, and a
+# second task would be stopped for memory that the first has already released.
 STOP_SETTLES_SECONDS = 3.0
 
-# An upstream that was asked this often to save a task, and still reports its memory,
-# does not save it.
-MOST_CHECKPOINTS = 2
+# An upstream that was asked this often to checkpoint a task, and still reports its
+# memory, is taken not to checkpoint it.
+MAX_CHECKPOINTS = 2
 
 
-class Guarded(msgspec.Struct):
-    """A task that runs here, as its caller declared it, and what was done to it.
+class GuardedTask(msgspec.Struct):
+    """A running task as its caller declared it, and the actions taken on it.
 
-    :param checkpoints: how often its upstream was asked to save it.
-    :param stopped_at: when it was last asked to stop it, None for never.
-    :param reason: of the stop, for its outcome.
+    :param checkpoints: how often its upstream was asked to checkpoint it.
+    :param stopped_at: when its upstream was last asked to stop it, None for never.
+    :param reason: reason of the stop, for the result.
     """
 
     attempt: int
@@ -57,64 +58,64 @@
 
 
 class Guard(msgspec.Struct):
-    """What the guard of one agent knows, by (submission, index)."""
+    """State of one agent's guard: running tasks by (submission, index)."""
 
-    tasks: dict[tuple[str, int], Guarded] = {}
+    tasks: dict[tuple[str, int], GuardedTask] = {}
 
 
-def watch(guard: Guard, start: Start) -> None:
-    """Take note of a task that starts here."""
-    guard.tasks[start.submission, start.index] = Guarded(
+def add_task(guard: Guard, start: Start) -> None:
+    """Add a task that starts here."""
+    guard.tasks[start.submission, start.index] = GuardedTask(
         start.attempt, start.task.memory_mb, start.idempotent
     )
 
 
-def unwatch(guard: Guard, submission: str, index: int) -> str:
-    """Forget a task that has ended; return why it was stopped, empty if it wasn't."""
+def remove_task(guard: Guard, submission: str, index: int) -> str:
+    """Remove a task that ended; return why it was stopped, empty if it wasn't."""
     task = guard.tasks.pop((submission, index), None)
     return task.reason if task is not None else ""
 
 
-def on_reported(
+def on_usage_report(
     guard: Guard, usages: list[TaskUsage], capacity: Capacity, worker: str, now: float
 ) -> list[Effect]:
-    """Judge a report of what the tasks here use; return what is to be done.
+    """Choose actions for a usage report and return them as effects.
 
-    What has ended since, or is another attempt of the same task, is left out: a
-    report is about a second old, and its wish would hit the wrong one.
+    Tasks that have ended since, or run as another attempt, are skipped: a report is
+    about a second old, and an action would affect the wrong attempt.
     """
-    places = {}
+    reported = {}
     for usage in usages:
         task = guard.tasks.get((usage.submission, usage.index))
         if task is not None and task.attempt == usage.attempt:
-            places[f"{usage.submission} {usage.index}"] = (usage, task)
+            reported[f"{usage.submission} {usage.index}"] = (usage, task)
     effects: list[Effect] = []
-    if stale := len(usages) - len(places):
+    if stale := len(usages) - len(reported):
         effects.append(Count("agent.usage.stale", stale))
-    judged = [_as_judged(name, *place) for name, place in places.items()]
+    judged = [_to_usage(name, *pair) for name, pair in reported.items()]
     actions = choose_guard_actions(judged, capacity.memory_mb, capacity.slots)
-    for name, (usage, task) in places.items():
+    for name, (usage, task) in reported.items():
         action = actions.get(name, GuardAction.NONE)
-        effects += _act(guard, action, usage, task, worker, now)
+        effects += _apply_action(guard, action, usage, task, worker, now)
     return effects
 
 
-def _as_judged(name: str, usage: TaskUsage, task: Guarded) -> Usage:
-    saves = usage.checkpoints and task.checkpoints < MOST_CHECKPOINTS
+def _to_usage(name: str, usage: TaskUsage, task: GuardedTask) -> Usage:
+    saves = usage.checkpoints and task.checkpoints < MAX_CHECKPOINTS
     return Usage(name, task.declared_mb, usage.used_mb, task.repeatable, saves)
 
 
-def _act(
+def _apply_action(
     guard: Guard,
     action: GuardAction,
     usage: TaskUsage,
-    task: Guarded,
+    task: GuardedTask,
     worker: str,
     now: float,
 ) -> list[Effect]:
     if action is GuardAction.NONE and not task.throttled:
         return []
-    place = (usage.submission, usage.index, usage.attempt)
+    attempt_key = (usage.submission, usage.index, usage.attempt)
     if action is GuardAction.STOP:
         if any(_settles(other, task, now) for other in guard.tasks.values()):
             return []
@@ -123,15 +124,15 @@
             f"its worker was out of memory and stopped it: it used {usage.used_mb} MB, "
             f"declared {task.declared_mb}"
         )
-        effect = StopUpstream(*place)
+        effect = StopUpstream(*attempt_key)
     elif action is GuardAction.CHECKPOINT:
         task.checkpoints += 1
-        effect = SteerUpstream(*place, action)
+        effect = ControlUpstream(*attempt_key, action)
     else:
-        # Sent again with each report while it holds: the last one may be lost.
+        # Sent again with each report while it applies, since a request may be lost.
         task.throttled = action is GuardAction.THROTTLE
         factor = THROTTLE_FACTOR if task.throttled else 1.0
-        effect = SteerUpstream(*place, GuardAction.THROTTLE, factor)
+        effect = ControlUpstream(*attempt_key, GuardAction.THROTTLE, factor)
     done = "lift" if action is GuardAction.NONE else action.value
     fields = {
         "action": done,
@@ -142,12 +143,12 @@
         "used_mb": usage.used_mb,
         "declared_mb": task.declared_mb,
     }
-    log = Log(Part.AGENT, "guards its worker's memory", fields)
+    log = Log(Part.AGENT, "memory guard acts on a task", fields)
     return [Count(f"agent.guard.{done}"), log, effect]
 
 
-def _settles(other: Guarded, task: Guarded, now: float) -> bool:
-    """Return whether another task was stopped and may not yet be gone."""
+def _settles(other: GuardedTask, task: GuardedTask, now: float) -> bool:
+    """Return whether another task was stopped and may still hold its memory."""
     if other is task or other.stopped_at is None:
         return False
     return now - other.stopped_at < STOP_SETTLES_SECONDS
--- a/src/cactuswalk/state/inquiries.py
+++ b/src/cactuswalk/state/inquiries.py
@@ -1,43 +1,43 @@
-"""Questions to the owner: where a submission stands, where a job could go."""
+"""Queries to the owner: the state of a submission, and where a job would fit."""
 
 import msgspec
 
-from cactuswalk.messages import Explain, Explained, JobState, Query, Verdict
+from cactuswalk.messages import Explain, Explanation, JobState, Query, Verdict
 from cactuswalk.model import Job, Outcome, TaskState
-from cactuswalk.state.answers import find
+from cactuswalk.state.answers import find_submission
 from cactuswalk.state.ledger import (
-    Place,
+    Placement,
     Stage,
     Task,
-    Tracked,
-    answer_of,
+    TrackedJob,
     end_task,
-    first_failed,
-    is_past_try,
+    find_failure,
     is_settled,
+    is_superseded_attempt,
+    make_answer,
 )
 from cactuswalk.state.owner import OwnerState, Phase
 
-__all__ = ["job_state", "on_explain", "on_query"]
+__all__ = ["make_job_state", "on_explain", "on_query"]
 
 
 def on_query(state: OwnerState, sender: str, query: Query, now: float) -> None:
-    """An entry asks where a submission stands."""
+    """Reply to an entry with the state of a submission."""
     if state.phase is Phase.RECOVERING:
         return
-    state.send(sender, job_state(state, query, sender))
+    state.send(sender, make_job_state(state, query, sender))
 
 
 def on_explain(state: OwnerState, sender: str, explain: Explain, now: float) -> None:
-    """Say where a job could be placed now."""
+    """Reply with the workers where a job could be placed now."""
     found = state.scheduler.explain(explain.job, now)
     verdicts = [Verdict(one.worker, one.fits, one.verdict) for one in found]
-    state.send(sender, Explained(explain.request, state.cell, verdicts))
+    state.send(sender, Explanation(explain.request, state.cell, verdicts))
 
 
-def job_state(state: OwnerState, query: Query, sender: str) -> JobState:
-    """Return where a submission stands, from the ledger or from records."""
-    tracked = find(state, query.submission)
+def make_job_state(state: OwnerState, query: Query, sender: str) -> JobState:
+    """Return the state of a submission, from the ledger or from records."""
+    tracked = find_submission(state, query.submission)
     if tracked is None:
         tracked = _from_records(state, query.submission)
     if tracked is None or _is_ahead(tracked, query, sender):
@@ -60,35 +60,35 @@
     )
 
 
-def _is_ahead(tracked: Tracked, query: Query, sender: str) -> bool:
-    """Tell whether an entry asks after a try that has yet to come here.
+def _is_ahead(tracked: TrackedJob, query: Query, sender: str) -> bool:
+    """Return whether an entry queries an attempt that has not arrived here yet.
 
-    An earlier try was refused; this one may run when it comes. Were the refusal
-    given for it, its caller would be told "not run" of what starts a moment later.
+    An earlier attempt was refused, but this one may run when it arrives. If it got
+    the same refusal, its caller would be told "not run" and it could start after.
     """
     if query.request or tracked.answer is None:
         return False
     refused = tracked.answer.outcome is Outcome.NOT_RUN
-    return refused and not is_past_try(tracked, sender, query.attempt)
+    return refused and not is_superseded_attempt(tracked, sender, query.attempt)
 
 
-def _from_records(state: OwnerState, submission: str) -> Tracked | None:
-    """Rebuild an entry of the ledger that nobody has resubmitted."""
+def _from_records(state: OwnerState, submission: str) -> TrackedJob | None:
+    """Rebuild the ledger entry of a submission that was not resubmitted."""
     records = state.recovered.of(submission)
     if not records:
         return None
     total = max(record.total for record in records.values())
     some = next(iter(records.values()))
     job = Job(submission, some.fingerprint, "", "", [])
-    tracked = Tracked(job, 0.0, [Task() for _ in range(total)], 0.0)
+    tracked = TrackedJob(job, 0.0, [Task() for _ in range(total)], 0.0)
     for record in records.values():
         if record.result is not None:
             end_task(tracked, record.result)
         elif record.state is TaskState.RUNNING:
             tracked.tasks[record.index].stage = Stage.SENT
-            tracked.tasks[record.index].place = Place(
+            tracked.tasks[record.index].placement = Placement(
                 record.worker, record.incarnation, record.attempt, 0, 0.0
             )
     if total and is_settled(tracked):
-        tracked.answer = answer_of(tracked, first_failed(tracked), True)
+        tracked.answer = make_answer(tracked, find_failure(tracked), True)
     return tracked
--- a/src/cactuswalk/state/node.py
+++ b/src/cactuswalk/state/node.py
@@ -1,15 +1,12 @@
-"""The reducer of an agent's process: agent, candidate, and perhaps owner."""
+"""The reducer of an agent's process: agent, candidate and, at times, owner."""
 
 import sys
 from collections.abc import Callable
 
 from cactuswalk.errors import InvariantError
 from cactuswalk.messages import (
-    Adopt,
-    Adopted,
-    AskShare,
     Cancel,
-    Ceded,
+    CededSlots,
     ConfigurationOffer,
     ConfigurationRequest,
     ConfigurationUpdate,
@@ -18,18 +15,21 @@
     Fence,
     Fenced,
     HandOver,
-    Heard,
-    HeardReply,
     Join,
+    LastContactReply,
+    LastContactRequest,
     Leave,
     NotOwner,
     Ping,
     Pong,
     Probe,
     Query,
+    RecordsReplicated,
+    ReplicateRecords,
     Result,
     Running,
-    Spare,
+    SlotOffer,
+    SlotRequest,
     Start,
     Submit,
     Subscribe,
@@ -51,7 +51,7 @@
     spreading,
     submissions,
 )
-from cactuswalk.state.candidate import TakenOver
+from cactuswalk.state.candidate import Takeover
 from cactuswalk.state.effects import Count, Effect, Log, Part, Send
 from cactuswalk.state.events import (
     Announced,
@@ -66,8 +66,8 @@
 )
 from cactuswalk.state.nodestate import Node, new_node
 from cactuswalk.state.owner import OwnerState
-from cactuswalk.state.retention import RecordBook
-from cactuswalk.state.stopping import stop
+from cactuswalk.state.retention import RecordStore
+from cactuswalk.state.stopping import advance_stop
 
 __all__ = ["Node", "handle", "new_node"]
 
@@ -78,8 +78,8 @@
     Probe: agents.on_probe,
     Fence: copying.on_fence,
     Witness: copying.on_witness,
-    Adopt: copying.on_adopt,
-    Heard: agents.on_heard,
+    ReplicateRecords: copying.on_adopt,
+    LastContactRequest: agents.on_heard,
 }
 _TO_OWNER: dict[type, Callable] = {
     Pong: peers.on_pong,
@@ -93,30 +93,30 @@
     Running: flights.on_running,
     Witnessed: placing.on_witnessed,
     Fenced: recovery.on_fenced,
-    Adopted: roster.on_adopted,
+    RecordsReplicated: roster.on_adopted,
     Join: roster.on_join,
     Leave: roster.on_leave,
-    AskShare: sharing.on_ask_share,
-    Ceded: sharing.on_ceded,
-    Spare: sharing.on_spare,
+    SlotRequest: sharing.on_ask_share,
+    CededSlots: sharing.on_ceded,
+    SlotOffer: sharing.on_spare,
 }
 _TO_CANDIDATE: dict[type, Callable] = {
-    HeardReply: candidates.on_heard_reply,
+    LastContactReply: candidates.on_heard_reply,
     NotOwner: candidates.on_not_owner,
     HandOver: candidates.on_hand_over,
 }
-# What passes within a cell; the others name the cell that they are about.
+# Messages within a cell; in the others ``cell`` names the cell that they refer to.
 _WITHIN_CELL = frozenset(
     kind
-    for kind in (*_TO_AGENT, *_TO_OWNER, HeardReply, HandOver)
+    for kind in (*_TO_AGENT, *_TO_OWNER, LastContactReply, HandOver)
     if "cell" in kind.__struct_fields__
-) - {AskShare, Ceded, Spare, Subscribe}
+) - {SlotRequest, CededSlots, SlotOffer, Subscribe}
 
 
 def handle(node: Node, event: Event, now: float) -> list[Effect]:
-    """Take one event and return what is to be done.
+    """Handle one event and return the resulting effects.
 
-    What the node sends to itself is handled at once and does not leave it.
+    Messages of the node to itself are handled at once and not returned.
     """
     _dispatch(node, event, now)
     outgoing: list[Effect] = []
@@ -135,7 +135,7 @@
 
 
 def _collect(node: Node, now: float) -> list[Effect]:
-    """Take the effects of all parts, and see whether the owner is deposed."""
+    """Collect the effects of all parts; step down first if the owner is deposed."""
     effects: list[Effect] = []
     if node.owner is not None:
         higher = node.agent.gate.epoch > node.owner.record.epoch
@@ -175,9 +175,9 @@
     message = event.message
     kind = type(message)
     if kind in _WITHIN_CELL and message.cell != node.cell:
-        # This host's address was another cell's until lately, and that cell's owner
-        # still speaks to it. Were its epoch taken, the owner of this cell would find
-        # a higher one than its own, and step down for nothing.
+        # This address belonged to another cell until recently, and that cell's owner
+        # still sends to it. If its epoch were accepted, the owner of this cell would
+        # see a higher epoch than its own and step down needlessly.
         node.agent.effects.append(Count("agent.other_cell", 1))
         return
     if kind in _TO_AGENT:
@@ -190,23 +190,23 @@
         if node.owner is not None:
             _TO_OWNER[kind](node.owner, event.sender, message, now)
         else:
-            _say_not_owner(node, event)
+            _reply_not_owner(node, event)
 
 
 def _on_offer(node: Node, sender: str, offer: ConfigurationOffer, now: float) -> None:
-    spreading.on_offer(node.agent.spread, node.agent, sender, offer, now)
+    spreading.on_offer(node.agent.sync, node.agent, sender, offer, now)
 
 
 def _on_request(
     node: Node, sender: str, request: ConfigurationRequest, now: float
 ) -> None:
-    spreading.on_request(node.agent.spread, node.agent, sender, request)
+    spreading.on_request(node.agent.sync, node.agent, sender, request)
 
 
 def _on_update(
     node: Node, sender: str, update: ConfigurationUpdate, now: float
 ) -> None:
-    spreading.on_update(node.agent.spread, node.agent, node.owner, sender, update, now)
+    spreading.on_update(node.agent.sync, node.agent, node.owner, sender, update, now)
 
 
 _ON_CONFIGURATION: dict[type, Callable] = {
@@ -216,8 +216,8 @@
 }
 
 
-def _say_not_owner(node: Node, event: Received) -> None:
-    """Tell who owns the cell, as far as this agent knows; nothing was done."""
+def _reply_not_owner(node: Node, event: Received) -> None:
+    """Reject a message to the owner, naming the owner known to this agent."""
     message = event.message
     if not isinstance(message, Submit | Subscribe | Cancel | Query):
         return
@@ -228,10 +228,10 @@
 
 
 def _redirect(node: Node, sender: str, submission: str, attempt: int) -> None:
-    """Tell an entry who owns the cell instead, as far as this agent knows.
+    """Tell an entry which owner this agent knows.
 
-    Without the address, an entry finds the new owner of a planned stop only
-    after the silence that it takes for the old one's death.
+    Without the address, an entry would find the new owner after a planned stop only
+    once the old one has been silent long enough to be taken for lost.
     """
     gate = node.agent.gate
     address = gate.owner.address if gate.owner is not None else ""
@@ -260,7 +260,7 @@
         sharing.on_partner_read(node.owner, event, now)
     else:
         sharing.on_service_read(node.owner, event, now)
-    roster.keep_roster(node.owner, now)
+    roster.maintain_roster(node.owner, now)
 
 
 def _on_swapped(node: Node, event: KeySwapped, now: float) -> None:
@@ -275,12 +275,12 @@
         _become_owner(node, taken, now)
 
 
-def _become_owner(node: Node, taken: TakenOver, now: float) -> None:
-    """Act as the owner of an epoch that the service has confirmed.
+def _become_owner(node: Node, taken: Takeover, now: float) -> None:
+    """Start as the owner of an epoch that the key-value service has confirmed.
 
-    The confirmation may come so late that another has taken the cell since.
+    The confirmation may come so late that another node owns the cell by then.
 
-    :raises InvariantError: if another owner has shown this very epoch.
+    :raises InvariantError: if another owner already uses the same epoch.
     """
     seen = node.agent.gate.epoch
     if taken.record.epoch < seen:
@@ -288,8 +288,8 @@
         return
     if taken.record.epoch == seen:
         raise InvariantError(
-            f"{node.cell}: epoch {seen} is taken, but another owner has shown it",
-            "The service has gone back. Stop the cell and restore its record.",
+            f"{node.cell}: epoch {seen} was acquired, but another owner uses it",
+            "The key-value service lost data. Stop the cell and restore its record.",
         )
     node.owner = OwnerState(
         node.cell,
@@ -300,9 +300,9 @@
         node.generator,
         node.agent,
         node.make_scheduler(),
-        node.agent.spread,
-        # Bounded by what the agents hand out, which is some seconds' worth.
-        RecordBook(node.timing.retention, sys.maxsize),
+        node.agent.sync,
+        # Bounded by the agents' records of the lookback period, some seconds.
+        RecordStore(node.timing.retention, sys.maxsize),
         maximum_bytes=node.ledger_bytes,
         wall_ms=node.wall_ms,
     )
@@ -310,7 +310,7 @@
 
 
 def _step_down(node: Node) -> None:
-    """Stop acting as the owner; entries go to the new one."""
+    """Stop acting as the owner, and redirect waiting entries to the new one."""
     owner, node.owner = node.owner, None
     node.agent.effects.append(
         Log(
@@ -331,25 +331,25 @@
 def _on_tick(node: Node, now: float) -> None:
     node.agent.gate.records.expire(now)
     node.agent.copies.expire(now)
-    node.agent.effects += node.agent.spread.tick(now)
+    node.agent.effects += node.agent.sync.tick(now)
     if node.owner is not None:
         _tick_owner(node.owner, now)
     else:
         if now - node.agent.heard_at < node.timing.ping:
-            candidates.on_member(node.candidate)
+            candidates.reset_join_wait(node.candidate)
         candidates.on_tick(node.candidate, now)
     if node.stopping:
-        stop(node, now)
+        advance_stop(node, now)
 
 
 def _tick_owner(owner: OwnerState, now: float) -> None:
     recovery.recover(owner, now)
     peers.ping_peers(owner, now)
-    peers.watch_peers(owner, now)
-    sharing.keep_sharing(owner, now)
-    roster.keep_roster(owner, now)
+    peers.abandon_lost_peers(owner, now)
+    sharing.maintain_shares(owner, now)
+    roster.maintain_roster(owner, now)
     placing.withdraw_unwitnessed(owner, now)
     submissions.expire_ledger(owner, now)
     placing.dispatch(owner, now)
-    reporting.report(owner, now)
+    reporting.send_reports(owner, now)
     owner.recovered.expire(now)
--- a/src/cactuswalk/state/reporting.py
+++ b/src/cactuswalk/state/reporting.py
@@ -1,72 +1,71 @@
-"""What an owner tells entries: a report when one asks, and news in between.
+"""Reports of an owner to entries: on request, and when relevant state changes.
 
-Why not at a steady pace: each owner would send to every entry, and each entry
-hear from every cell, some hundred bytes several times a second. At the target
-that was 63 KB a second at an entry. Entries ask at a pace that they can bear,
-see ``listening``; only what they decide by is worth a message that nobody asked
-for.
+Load pattern: many cells and entries. If each owner sent every entry some hundred
+bytes several times a second, an entry would receive 63 KB a second at the target
+size. Entries therefore request reports at an interval that keeps to their bound (see
+``listening``), and owners send unrequested ones only for changes that entries act on.
 """
 
 from cactuswalk.messages import CellReport, Subscribe
 from cactuswalk.messages.configuration import ConfigurationOffer
-from cactuswalk.state.agent import stamp_of
+from cactuswalk.state.agent import make_stamp
 from cactuswalk.state.owner import EntryView, OwnerState, Phase
-from cactuswalk.state.spreading import offer_of
+from cactuswalk.state.spreading import make_offer
 
-__all__ = ["on_subscribe", "report"]
+__all__ = ["on_subscribe", "send_reports"]
 
-# An entry that has not asked for this long is gone: three times the slowest
-# pace at which one asks.
-ENTRY_FORGOTTEN_AFTER = 30.0
-# While a change is on its way through the cell, its entries are told how far it
-# has come no more often than this; they are told at once when all nodes have it.
-UNSETTLED_NEWS_AFTER = 1.0
+# An entry that has not asked for this long is removed: three times the longest
+# interval between its requests.
+ENTRY_LAPSE_SECONDS = 30.0
+# While a change spreads through the cell, entries get its progress no more often
+# than this; they are told at once when all nodes have it.
+PARTIAL_REPORT_INTERVAL_SECONDS = 1.0
 
 
 def on_subscribe(
     state: OwnerState, sender: str, subscribe: Subscribe, now: float
 ) -> None:
-    """Tell an entry how the cell stands; the news will follow by itself."""
+    """Send a report to an entry; later changes are sent without a request."""
     view = state.entries.setdefault(sender, EntryView(now))
     view.subscribed_at = now
     same_owner = subscribe.epoch == state.record.epoch
-    # What the entry says goes before what it was sent: that may have been lost.
+    # The entry's serial overrides the one last sent, since that report may be lost.
     view.serial = subscribe.serial if same_owner else -1
     if state.phase is Phase.SERVING:
-        _tell(state, sender, view, offer_of(state, state.spread), now)
+        _send_report(state, sender, view, make_offer(state, state.sync), now)
 
 
-def report(state: OwnerState, now: float) -> None:
-    """Look for news once a report period, and tell it to the entries."""
+def send_reports(state: OwnerState, now: float) -> None:
+    """Once a report period, send reports to the entries that need one."""
     if state.phase is not Phase.SERVING:
         return
     if now - state.reported_at < state.timing.report:
         return
     state.reported_at = now
-    offer = offer_of(state, state.spread)
+    offer = make_offer(state, state.sync)
     for address, view in list(state.entries.items()):
-        if now - view.subscribed_at > ENTRY_FORGOTTEN_AFTER:
+        if now - view.subscribed_at > ENTRY_LAPSE_SECONDS:
             del state.entries[address]
-        elif _has_news(state, view, offer, now):
-            _tell(state, address, view, offer, now)
+        elif _must_report(state, view, offer, now):
+            _send_report(state, address, view, offer, now)
 
 
-def _has_news(
+def _must_report(
     state: OwnerState, view: EntryView, offer: ConfigurationOffer, now: float
 ) -> bool:
-    """Tell whether something that an entry decides by, or waits for, has changed.
+    """Return whether something that an entry acts on or waits for has changed.
 
-    Free slots are not among it: an entry refuses nothing for want of room, and
-    under load they change with every task.
+    Free slots do not count: an entry refuses nothing for lack of capacity, and under
+    load they change with every task.
     """
     if view.serial != state.workers_serial:
         return True
     settled = len(offer.held) == 1
-    due = settled or now - view.told_at >= UNSETTLED_NEWS_AFTER
+    due = settled or now - view.told_at >= PARTIAL_REPORT_INTERVAL_SECONDS
     return view.held != offer.held and due
 
 
-def _tell(
+def _send_report(
     state: OwnerState,
     address: str,
     view: EntryView,
@@ -89,15 +88,15 @@
             state.scheduler.count_queued(),
             workers,
             ConfigurationOffer(offer.revision, offer.ahead, "", offer.held),
-            stamp_of(now),
+            make_stamp(now),
             len(state.entries),
-            _young_ms(state, now),
+            _key_refusal_ms(state, now),
         ),
     )
 
 
-def _young_ms(state: OwnerState, now: float) -> int:
-    """Return for how long still callers' own keys may be taken for keys of before."""
+def _key_refusal_ms(state: OwnerState, now: float) -> int:
+    """Return how long callers' own keys may still be confused with old ones."""
     margin = state.timing.clock_margin + state.timing.entry_margin
     left = state.founded_at + margin - now
     return int(left * 1000) if left > 0 else 0
--- a/src/cactuswalk/state/spreading.py
+++ b/src/cactuswalk/state/spreading.py
@@ -1,7 +1,7 @@
-"""How the configuration reaches an agent's node, and takes effect at its owner.
+"""Distribution of the configuration to agents, and its effect at the owner.
 
-Every agent holds the whole copy: any of them may own the cell next, and a node
-that starts while the key-value service is away learns all from a peer.
+Every agent holds a full copy, since any of them may become the owner, and a node that
+starts during an outage of the key-value service gets the configuration from a peer.
 """
 
 from cactuswalk.messages import (
@@ -11,14 +11,18 @@
 )
 from cactuswalk.model.configuration import Team
 from cactuswalk.state.agent import AgentState
-from cactuswalk.state.configuration import Spread, fold, view_worker
+from cactuswalk.state.configuration import (
+    ConfigurationSync,
+    count_by_state,
+    view_worker,
+)
 from cactuswalk.state.effects import Count, Log, Part, Send
 from cactuswalk.state.owner import OwnerState, Peer
 
 __all__ = [
-    "apply_all",
+    "apply_configuration",
     "apply_worker",
-    "offer_of",
+    "make_offer",
     "on_offer",
     "on_request",
     "on_update",
@@ -26,42 +30,45 @@
 
 
 def on_offer(
-    spread: Spread,
+    sync: ConfigurationSync,
     agent: AgentState,
     sender: str,
     offer: ConfigurationOffer,
     now: float,
 ) -> None:
-    """Another node says what it holds."""
-    agent.effects += spread.offered(sender, offer, now)
+    """Handle an offer of another node."""
+    agent.effects += sync.on_offer(sender, offer, now)
 
 
 def on_request(
-    spread: Spread, agent: AgentState, sender: str, request: ConfigurationRequest
+    sync: ConfigurationSync,
+    agent: AgentState,
+    sender: str,
+    request: ConfigurationRequest,
 ) -> None:
-    """Another node asks for what it lacks."""
-    agent.effects += spread.requested(sender, request)
+    """Answer a request of another node."""
+    agent.effects += sync.on_request(sender, request)
 
 
 def on_update(
-    spread: Spread,
+    sync: ConfigurationSync,
     agent: AgentState,
     owner: OwnerState | None,
     sender: str,
     update: ConfigurationUpdate,
     now: float,
 ) -> None:
-    """Changes have come: put them in force, and pass them on as the owner."""
-    before = spread.replica.revision
-    applied, requests = spread.updated(sender, update, now)
+    """Apply changes; an owner also sends them to its agents and entries."""
+    before = sync.replica.revision
+    applied, requests = sync.on_update(sender, update, now)
     agent.effects += requests
-    agent.configuration = spread.replica.revision
+    agent.configuration = sync.replica.revision
     if applied.refused:
         agent.effects.append(Count("configuration.refused", applied.refused))
     if not applied.objects:
         return
     keys = [stored.key for stored in applied.objects]
-    fields = {"revision": spread.replica.revision, "keys": keys[:20]}
+    fields = {"revision": sync.replica.revision, "keys": keys[:20]}
     agent.effects.append(
         Log(Part.CONFIGURATION, "put changes in force", fields | {"count": len(keys)})
     )
@@ -72,28 +79,28 @@
         for peer in owner.peers.values()
         if peer.member != owner.member
     ]
-    agent.effects += spread.updates(before, others)
-    apply_all(owner, spread, now)
-    offer_to_entries(owner, spread)
+    agent.effects += sync.make_updates(before, others)
+    apply_configuration(owner, sync, now)
+    offer_to_entries(owner, sync)
 
 
-def apply_all(owner: OwnerState, spread: Spread, now: float) -> None:
-    """Bring the scheduler to the configuration in force.
+def apply_configuration(owner: OwnerState, sync: ConfigurationSync, now: float) -> None:
+    """Apply the configuration in force to the scheduler.
 
-    The whole of it each time: it is some hundred objects, changes are rare, and
-    nothing is left over from an object that was deleted.
+    All of it is applied each time: it has some hundred objects and changes rarely,
+    and so nothing remains of a deleted object.
     """
     for peer in owner.peers.values():
-        apply_worker(owner, spread, peer, now)
+        apply_worker(owner, sync, peer, now)
     services = {
         peer.announcement.service
         for peer in owner.peers.values()
         if peer.announcement is not None
     }
     owner.hedged_services = frozenset(
-        one.name for one in spread.replica.select("service") if one.hedge
+        one.name for one in sync.replica.select("service") if one.hedge
     )
-    teams = {one.name: one for one in spread.replica.select("team")}
+    teams = {one.name: one for one in sync.replica.select("team")}
     for name in owner.quota_teams - teams.keys():
         teams[name] = Team(name=name)
     for service in services:
@@ -104,23 +111,25 @@
     owner.quota_teams = set(teams)
 
 
-def apply_worker(owner: OwnerState, spread: Spread, peer: Peer, now: float) -> None:
-    """Bring what the scheduler knows of one worker to what is in force."""
+def apply_worker(
+    owner: OwnerState, sync: ConfigurationSync, peer: Peer, now: float
+) -> None:
+    """Apply the configuration in force to one worker of the scheduler."""
     if peer.announcement is None:
         return
-    view = view_worker(spread.replica, peer.announcement)
+    view = view_worker(sync.replica, peer.announcement)
     if view.announcement != peer.in_force:
         peer.in_force = view.announcement
         owner.workers_serial += 1
         owner.scheduler.set_worker(view.announcement, peer.usable, now)
-    gets_nothing = view.drained or not view.may_serve
-    peer.drained = gets_nothing
-    owner.scheduler.set_drained(peer.announcement.worker, gets_nothing, now)
+    gets_no_work = view.drained or not view.may_serve
+    peer.drained = gets_no_work
+    owner.scheduler.set_drained(peer.announcement.worker, gets_no_work, now)
 
 
-def offer_of(owner: OwnerState, spread: Spread) -> ConfigurationOffer:
-    """Return what the nodes of this cell hold, for its entries."""
-    replica = spread.replica
+def make_offer(owner: OwnerState, sync: ConfigurationSync) -> ConfigurationOffer:
+    """Return the offer for entries: what the nodes of this cell have in force."""
+    replica = sync.replica
     states = [(replica.revision, replica.ahead)]
     states += [
         (peer.configuration, peer.ahead)
@@ -128,11 +137,11 @@
         if peer.member != owner.member
     ]
     return ConfigurationOffer(
-        replica.revision, sorted(replica.ahead), owner.cell, fold(states)
+        replica.revision, sorted(replica.ahead), owner.cell, count_by_state(states)
     )
 
 
-def offer_to_entries(owner: OwnerState, spread: Spread) -> None:
-    """Tell the entries at once; the next report would do it too."""
-    offer = offer_of(owner, spread)
+def offer_to_entries(owner: OwnerState, sync: ConfigurationSync) -> None:
+    """Send an offer to all entries at once, without waiting for the next report."""
+    offer = make_offer(owner, sync)
     owner.effects += [Send(address, offer) for address in owner.entries]
--- a/src/cactuswalk/state/waiting.py
+++ b/src/cactuswalk/state/waiting.py
@@ -1,4 +1,4 @@
-"""Submissions that wait for an answer: sent, asked after, answered, given up."""
+"""Pending submissions at an entry: sent, queried, answered or given up."""
 
 from cactuswalk.messages import (
     Answer,
@@ -11,7 +11,7 @@
     Outcome,
     Refusal,
     RefusalCode,
-    digest,
+    compute_digest,
 )
 from cactuswalk.state.effects import (
     Count,
@@ -19,39 +19,40 @@
     Send,
 )
 from cactuswalk.state.entryview import (
-    OWNER_AWAITED,
+    MAX_OWNER_WAIT_SECONDS,
     RETRY_WITHOUT_OWNER_MS,
     CellView,
     EntryState,
     Pending,
-    age_ms,
-    give_up,
+    key_age_ms,
     last_attempt,
     log,
-    no_owner,
-    outcome_unsent,
+    make_no_owner_refusal,
+    outcome_if_unsent,
+    refuse_pending,
 )
-from cactuswalk.state.listening import ask_again, hear, is_silent
+from cactuswalk.state.listening import is_silent, record_stamp, repeat_request
 
-__all__ = ["keep_pending", "on_answer", "on_job_state", "send_submit"]
+__all__ = ["maintain_pending", "on_answer", "on_job_state", "send_submit"]
 
-# How long past the deadline the owner's own word is awaited. It answers at the
-# deadline after ``settle`` at most; the rest is for a busy loop.
-DEADLINE_GRACE = 0.25
+# Time after the deadline that an entry waits for the owner's answer. The owner answers
+# within ``settle`` after the deadline; the rest allows for a busy event loop.
+DEADLINE_GRACE_SECONDS = 0.25
 
 
 def send_submit(
     state: EntryState, pending: Pending, cell: CellView, now: float
 ) -> None:
-    """Send a submission to the owner of its cell, or first ask it for a stamp.
+    """Send a submission to the owner of its cell, or first request a new stamp.
 
-    Its report comes after a round trip, and the submission goes out with it. An
-    owner that is gone gets nothing, so that its caller can be told "not run".
+    The owner's report with the stamp arrives after a round trip, and the submission
+    is sent then. An owner that is gone gets nothing, so that the caller can be told
+    "not run".
     """
     if not cell.owner:
         return
     if now - cell.stamp_at > state.timing.confirm:
-        ask_again(state, cell, now)
+        repeat_request(state, cell, now)
         return
     state.attempt += 1
     fresh = pending.minted and not pending.sent
@@ -60,51 +61,53 @@
         state.attempt,
         fresh,
         max(0, int((pending.deadline - now) * 1000)),
-        int(age_ms(state, pending.job, now)),
+        int(key_age_ms(state, pending.job, now)),
         cell.epoch,
         cell.stamp,
     )
     pending.attempts.add(state.attempt)
     pending.sent = True
     pending.sent_epoch = cell.epoch
-    pending.sign_at = now
+    pending.last_sign_at = now
     pending.query_after = state.timing.query
     state.effects += (Send(cell.owner, submit), Count("entry.submit.sent"))
 
 
 def on_answer(state: EntryState, sender: str, answer: Answer, now: float) -> None:
-    """The owner has answered a submission."""
+    """Handle the owner's answer to a submission."""
     pending = state.pending.get(answer.submission)
     if pending is None or answer.attempt not in pending.attempts:
         state.effects.append(Count("entry.answer.stale"))
         return
     view = state.cells[pending.cell]
     if sender == view.owner and answer.epoch == view.epoch:
-        hear(view, answer.stamp, now)
+        record_stamp(view, answer.stamp, now)
     if answer.outcome is Outcome.NOT_RUN and answer.epoch < view.epoch:
-        # A deposed owner's word that came late: the new one may have started it.
+        # A late answer of a deposed owner: the new one may have started the task.
         state.effects.append(Count("entry.answer.deposed"))
         return
-    if answer.fingerprint != pending.job.fingerprint or not _is_whole(pending, answer):
-        # Cut short or mixed up: nothing of it may reach the caller. The query
-        # timer asks the owner for it again.
+    if answer.fingerprint != pending.job.fingerprint or not _is_complete(
+        pending, answer
+    ):
+        # The answer is truncated or damaged and must not reach the caller. The query
+        # timer requests it again.
         state.effects.append(Count("entry.answer.damaged"))
         return
     _finish(state, pending, answer)
 
 
-def _is_whole(pending: Pending, answer: Answer) -> bool:
+def _is_complete(pending: Pending, answer: Answer) -> bool:
     if answer.outcome is not Outcome.ANSWERED:
         return True
     bodies_match = all(
-        digest(result.body) == result.digest for result in answer.results
+        compute_digest(result.body) == result.digest for result in answer.results
     )
     indexes = [result.index for result in answer.results]
     parts = [result.digest for result in answer.results]
     return (
         bodies_match
         and indexes == list(range(len(pending.job.tasks)))
-        and answer.digest == digest(answer.fingerprint, *parts)
+        and answer.digest == compute_digest(answer.fingerprint, *parts)
     )
 
 
@@ -131,38 +134,38 @@
 
 
 def on_job_state(state: EntryState, message: JobState, now: float) -> None:
-    """The owner says where a submission stands."""
+    """Handle the owner's report of a submission's state."""
     pending = state.pending.get(message.submission)
     if pending is None:
         return
     if message.answer is not None:
-        # Asked for by an earlier try, it may say "not run" of a task that this
-        # one has started; it is dropped as any answer of another attempt.
+        # An answer to an earlier attempt may report "not run" for a task that this
+        # attempt has started. It is dropped like any answer to another attempt.
         message.answer.attempt = message.attempt
         on_answer(state, "", message.answer, now)
         return
-    pending.sign_at = now
+    pending.last_sign_at = now
     pending.query_after *= 2
     if not message.known and pending.cancelled:
         refusal = Refusal(
             RefusalCode.CANCELLED, "it was cancelled; nothing more of it will start"
         )
-        give_up(state, pending, Outcome.UNKNOWN, refusal)
+        refuse_pending(state, pending, Outcome.UNKNOWN, refusal)
         return
     if not message.known and state.cells[pending.cell].epoch == pending.sent_epoch:
-        # The submit was lost on the way; the owner joins a repeated one.
+        # The submission was lost; the owner joins repeated ones.
         send_submit(state, pending, state.cells[pending.cell], now)
 
 
-def keep_pending(state: EntryState, pending: Pending, now: float) -> None:
-    """Give up in time, ask after what is silent, send what waits for an owner."""
+def maintain_pending(state: EntryState, pending: Pending, now: float) -> None:
+    """Send, query or give up a pending submission."""
     view = state.cells[pending.cell]
-    if now >= pending.deadline + (DEADLINE_GRACE if pending.sent else 0.0):
-        _give_up_late(state, pending, view)
+    if now >= pending.deadline + (DEADLINE_GRACE_SECONDS if pending.sent else 0.0):
+        _give_up_overdue(state, pending, view)
         return
     if (
         not pending.sent
-        and (view.unread or view.retired)
+        and (view.record_unreadable or view.retired)
         and is_silent(view, state.timing.confirm, now)
     ):
         refusal = Refusal(
@@ -170,41 +173,45 @@
             f"cell {view.cell} has no owner, and nobody can take it over now",
             RETRY_WITHOUT_OWNER_MS,
         )
-        give_up(state, pending, outcome_unsent(pending.minted), refusal)
+        refuse_pending(state, pending, outcome_if_unsent(pending.minted), refusal)
         return
-    sought = view.sought_since
+    sought = view.silent_since
     since = (
         pending.submitted_at if sought is None else min(pending.submitted_at, sought)
     )
-    if not pending.sent and now - since > OWNER_AWAITED:
-        outcome = outcome_unsent(pending.minted)
-        give_up(state, pending, outcome, no_owner(view))
+    if not pending.sent and now - since > MAX_OWNER_WAIT_SECONDS:
+        outcome = outcome_if_unsent(pending.minted)
+        refuse_pending(state, pending, outcome, make_no_owner_refusal(view))
         return
     if pending.sent_epoch < view.epoch:
         send_submit(state, pending, view, now)
         return
-    if pending.sent and view.owner and now - pending.sign_at >= pending.query_after:
-        pending.sign_at = now
+    if (
+        pending.sent
+        and view.owner
+        and now - pending.last_sign_at >= pending.query_after
+    ):
+        pending.last_sign_at = now
         query = Query(pending.job.submission, "", last_attempt(pending))
         state.effects.append(Send(view.owner, query))
         state.effects.append(Count("entry.query.sent"))
 
 
-def _give_up_late(state: EntryState, pending: Pending, view: CellView) -> None:
-    """Answer a submission whose deadline has passed without the owner's word."""
+def _give_up_overdue(state: EntryState, pending: Pending, view: CellView) -> None:
+    """Give up a submission whose deadline has passed without an owner's answer."""
     if not pending.sent:
         refusal = Refusal(
             RefusalCode.NO_OWNER,
             "its deadline passed before an owner of its cell was found",
             RETRY_WITHOUT_OWNER_MS,
         )
-        give_up(state, pending, outcome_unsent(pending.minted), refusal)
+        refuse_pending(state, pending, outcome_if_unsent(pending.minted), refusal)
         return
     if view.owner:
         state.effects.append(Send(view.owner, Cancel(pending.job.submission)))
     refusal = Refusal(
         RefusalCode.TIMED_OUT,
-        "its deadline passed without word from the owner of its cell; it may have run",
+        "its deadline passed without a reply from its cell's owner; it may have run",
         RETRY_WITHOUT_OWNER_MS,
     )
-    give_up(state, pending, Outcome.UNKNOWN, refusal)
+    refuse_pending(state, pending, Outcome.UNKNOWN, refusal)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -52,28 +52,28 @@
     Mutant(
         "an owner that hears nobody goes on pinging",
         f"{STATE}/peers.py",
-        "return deaf_for > state.timing.suspect",
+        "return unconfirmed_seconds > state.timing.suspect",
         "return False",
         TAKEOVER,
     ),
     Mutant(
         "an owner that hears nobody takes all others for lost",
         f"{STATE}/roster.py",
-        "deaf = _hears_nobody(state, now)",
-        "deaf = False",
+        "isolated = _hears_no_member(state, now)",
+        "isolated = False",
         TAKEOVER,
     ),
     Mutant(
         "a new owner does not wait out the old one's standing",
         f"{STATE}/recovery.py",
-        "if not _majority(state) or now < state.old_owner_until:",
-        "if not _majority(state):",
+        "if not _has_fenced_majority(state) or now < state.old_owner_until:",
+        "if not _has_fenced_majority(state):",
         TAKEOVER,
     ),
     Mutant(
         "a new owner serves without a fenced majority",
         f"{STATE}/recovery.py",
-        "if not _majority(state) or now < state.old_owner_until:",
+        "if not _has_fenced_majority(state) or now < state.old_owner_until:",
         "if now < state.old_owner_until:",
         TAKEOVER,
     ),
@@ -87,7 +87,7 @@
     Mutant(
         "an entry keeps its pace though a caller waits",
         f"{STATE}/listening.py",
-        "    if busy:\n        return CLOSEST_PACE\n",
+        "    if busy:\n        return MIN_REPORT_INTERVAL_SECONDS\n",
         "",
         LISTENING,
     ),
@@ -101,7 +101,7 @@
     Mutant(
         "a stopping member leaves with attempts that nobody has settled",
         f"{STATE}/roster.py",
-        "(peer.leaving and not peer.flights)",
+        "(peer.leaving and not peer.placements)",
         "peer.leaving",
         TAKEOVER,
     ),
@@ -122,7 +122,7 @@
     Mutant(
         "a candidate forgets a swap that may apply late",
         f"{STATE}/candidate.py",
-        "if record.write_id in state.attempted:",
+        "if record.write_id in state.swaps_in_doubt:",
         "if False:",
         TAKEOVER,
     ),
@@ -151,7 +151,7 @@
     Mutant(
         "an owner that an entry hears does not keep a second cell from beginning",
         f"{STATE}/candidate.py",
-        "    owner = absence.live_owner(LIVE_SPANS * timing.confirm, now)\n",
+        "    owner = absence.live_owner(OWNER_LIVE_PERIODS * timing.confirm, now)\n",
         '    owner = ""\n',
         LOST,
     ),
@@ -179,7 +179,7 @@
     Mutant(
         "callers wait for their deadlines where half of a cell is lost",
         f"{STATE}/waiting.py",
-        "    if not pending.sent and now - since > OWNER_AWAITED:\n",
+        "    if not pending.sent and now - since > MAX_OWNER_WAIT_SECONDS:\n",
         "    if False:\n",
         LOST,
     ),
@@ -221,7 +221,7 @@
     Mutant(
         "a word that an attempt did not start leaves the witness's record",
         f"{STATE}/flights.py",
-        "    _note_declined(state, message, now)\n",
+        "    _decline_recovered(state, message, now)\n",
         "",
         TAKEOVER,
     ),
@@ -284,7 +284,7 @@
     Mutant(
         "a declined attempt leaves no tombstone",
         f"{STATE}/agent.py",
-        "        tombstone(gate, start, now)\n",
+        "        record_decline(gate, start, now)\n",
         "",
         ANSWERS,
     ),
@@ -340,8 +340,8 @@
     Mutant(
         "a restarted agent speaks for its earlier life",
         f"{STATE}/gate.py",
-        "if start.incarnation != gate.member.incarnation:\n        return Verdict",
-        "if False:\n        return Verdict",
+        "start.incarnation != gate.member.incarnation:\n        return StartDecision",
+        "False:\n        return StartDecision",
         GATE,
     ),
     Mutant(
@@ -361,8 +361,8 @@
     Mutant(
         "an answer of another attempt passes",
         f"{STATE}/flights.py",
-        "    if not attempts.is_current(task, incarnation, attempt):\n        # An",
-        "    if False:\n        # An",
+        "    if not attempts.is_current(task, incarnation, attempt):\n        # The",
+        "    if False:\n        # The",
         ANSWERS,
     ),
     Mutant(
@@ -389,14 +389,14 @@
     Mutant(
         "a copy of a refused submission runs",
         f"{STATE}/submissions.py",
-        "return not is_past_try(tracked, held.sender, held.submit.attempt)",
+        "return not is_superseded_attempt(tracked, held.sender, held.submit.attempt)",
         "return True",
         ANSWERS,
     ),
     Mutant(
         "an earlier try runs after a later one was refused",
         f"{STATE}/ledger.py",
-        "return last is not None and 0 <= last - attempt < ATTEMPTS_OF_A_LIFE",
+        "return last is not None and 0 <= last - attempt < ATTEMPTS_PER_INCARNATION",
         "return last == attempt",
         ANSWERS,
     ),
@@ -410,8 +410,8 @@
     Mutant(
         "a damaged answer reaches the caller",
         f"{STATE}/waiting.py",
-        "answer.fingerprint != pending.job.fingerprint or not _is_whole",
-        "False and not _is_whole",
+        "answer.fingerprint != pending.job.fingerprint or not _is_complete",
+        "False and not _is_complete",
         ANSWERS,
     ),
     Mutant(
